--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -5,193 +5,203 @@
 	"time"
 )
 
-// Bounds are what an order must keep to.
+// Bounds limit the calls that the new version of an order receives during its trial.
 type Bounds struct {
-	// Share is the largest share of a service's calls that may go to a version that is not
-	// known to be good, Slack a number of calls beside it.
+	// Share is the largest share of a service's calls that may go to the new version during
+	// its trial. Slack is a number of calls that may go to it in addition.
 	Share, Slack float64
 }
 
-// Targets counts the targets of a service.
+// Targets counts the usable targets of a service by version.
 type Targets struct {
-	// New have the version of the order, Warm of them take their share of the load.
+	// New counts the targets of the order's version, Warm those of them whose warm-up is over.
 	New, Warm int
-	// Old are the others.
+	// Old counts the targets of all other versions.
 	Old int
 }
 
-// Situation is what a step goes by.
+// Situation is the input of one step of a Controller.
 type Situation struct {
 	Now     time.Time
 	Targets Targets
-	// Part is the part of the nodes that report to this owner.
+	// Part is the part of the fleet's nodes that report to this owner, from 0 to 1.
 	Part float64
-	// Sent and SentNew are the calls of these nodes so far, PerSecond is their rate; 0 for unknown.
+	// Sent counts the calls of the reporting nodes for the service since the order was received,
+	// SentNew those to the new version. PerSecond is the rate of their calls; 0 if unknown.
 	Sent, SentNew uint64
 	PerSecond     float64
-	// OldInFlight counts the calls that targets of the old version still work on.
+	// OldInFlight counts the calls in flight at targets of the old version.
 	OldInFlight int
-	// Withdrawn says that the order does not stand any more.
+	// Withdrawn says that the order was removed or replaced.
 	Withdrawn bool
-	// Complete says that the judge has the evidence of all nodes up to the same moment.
+	// Complete says that the judge has evidence from nearly all nodes up to the same moment, or
+	// that the wait for it is over.
 	Complete bool
 }
 
-// minority reports whether most nodes report to other owners. It is left to those whether enough
-// answers came, and whether the old version may stop.
-func (s Situation) minority() bool { return s.Part <= 0.5 }
+// isMinority reports whether at most half of the nodes report to this owner. Until shortly before
+// the deadline such an owner doesn't roll back for too few answers, and doesn't complete the order:
+// an owner with most of the nodes may do so.
+func (s Situation) isMinority() bool { return s.Part <= 0.5 }
 
-// Step is what is to be done now.
+// Step is the decision of a Controller at one moment.
 type Step struct {
 	State State
-	// Share is the part of the calls that go to the new version.
+	// Share is the share of the calls that go to the new version.
 	Share float64
-	// Phase and Reason are for operators.
+	// Phase and Reason describe the decision to operators.
 	Phase, Reason string
 }
 
 const (
-	// shareMargin is the part of the bound that is used: calls are spread by chance.
+	// shareMargin is the part of Bounds.Share that is used: the version of each call is drawn at
+	// random, so the share that is reached varies.
 	shareMargin = 0.8
-	// slackMargin is the part of the slack that may be used where there are few calls.
+	// slackMargin is the part of Bounds.Slack that may be used.
 	slackMargin = 0.4
-	// spreadUntil is the part of an order's time for which calls are spread, tryUntil that for
-	// which the new version is tried at least, tryAtMost that for which it is tried where too
-	// few answers came.
-	spreadUntil = 0.35
-	tryUntil    = 0.65
-	tryAtMost   = 0.8
-	// burstTime is how long a burst lasts, burstPause the least time between two, in which its
-	// answers come; burstMargin is for the calls until all nodes hear of its end.
+	// The trial ends at trialUntil of the order's time at the earliest, and at maxTrialUntil where
+	// routes have fewer than minRouteAnswers answers or bursts are missing. Until spreadUntil the
+	// calls to the new version are spread evenly over time, afterwards they are sent in bursts.
+	spreadUntil   = 0.35
+	trialUntil    = 0.65
+	maxTrialUntil = 0.8
+	// burstTime is the duration of a burst. burstPause is the shortest time between two bursts, in
+	// which the answers to the first one arrive. burstMargin scales the calls that are reserved
+	// for a burst, since nodes keep sending until they receive the end of the burst.
 	burstTime   = 2 * stepInterval
 	burstPause  = time.Second
 	burstMargin = 1.5
-	// trickle is the share between bursts.
-	trickle = 0.02
-	// moveUntil is the part of the time at which all traffic has moved.
+	// pauseShare is the share of the new version between bursts.
+	pauseShare = 0.02
+	// moveUntil is the part of the order's time after which all traffic has moved.
 	moveUntil = 0.93
-	// settleTime is how long all traffic stays with the new version before the old one may stop.
+	// settleTime is how long all traffic goes to the new version before the order is completed.
 	settleTime = time.Second
-	// lastMoment is how long before its deadline an order is decided at the latest; by the owner of
-	// few nodes only where none decided before.
-	lastMoment           = 500 * time.Millisecond
-	lastMomentOfMinority = lastMoment - stepInterval
-	// enough is the number of answers on each route that show an excess of bad ones, fewest
-	// that in all without which nothing is known.
-	enough = 25
-	fewest = 15
-	// wanted is the number of answers that a trial with few calls goes for.
-	wanted = 60
+	// decisionMargin is how long before its deadline an order is decided at the latest. An owner
+	// with a minority of the nodes decides one step later, if no other owner did before.
+	decisionMargin         = 500 * time.Millisecond
+	minorityDecisionMargin = decisionMargin - stepInterval
+	// minRouteAnswers is the number of answers on a route that suffices to detect an excess of bad
+	// ones. With fewer than minAnswers on all routes the new version cannot be assessed.
+	minRouteAnswers = 25
+	minAnswers      = 15
+	// wantedAnswers is the number of answers that a trial aims at where the service has few calls.
+	wantedAnswers = 60
 )
 
-// burstShares are the shares of bursts. A small share of the traffic shows nothing of how the
-// version bears all of it, the same number of calls in a short burst does.
+// burstShares are the shares of successive bursts. A small share of the traffic doesn't show how
+// the version performs under the full load; the same number of calls in a short burst does.
 var burstShares = []float64{0.25, 0.5, 1, 1}
 
-// moveShares are the shares while the traffic moves.
+// moveShares are the successive shares of the new version while the traffic moves.
 var moveShares = []float64{0.25, 0.5, 1}
 
-// Controller decides on one order. It has no clock and no network.
+// Controller decides how one order proceeds. It uses no clock and no network: each step gets the
+// time and the counts as its input.
 type Controller struct {
 	Order  Order
 	Bounds Bounds
-	Began  time.Time
-	// Judge has the evidence so far.
+	// Began is when the order's time began.
+	Began time.Time
+	// Judge compares the versions by the evidence so far.
 	Judge *Judge
 
 	// bursts counts the bursts so far, burstEnds is when the last one ends.
 	bursts    int
 	burstEnds time.Time
-	moving    time.Time
-	// settled is since when all traffic goes to the new version.
+	// moving is when the traffic began to move to the new version; zero before.
+	moving time.Time
+	// settled is since when all traffic goes to the new version; zero before.
 	settled time.Time
 }
 
-// deadline is when the order's time is over.
+// deadline returns the end of the order's time.
 func (c *Controller) deadline() time.Time { return c.Began.Add(c.Order.Lasts) }
 
-// at is the moment at a part of the order's time.
+// at returns the moment at which a part of the order's time, from 0 to 1, is over.
 func (c *Controller) at(part float64) time.Time {
 	return c.Began.Add(time.Duration(part * float64(c.Order.Lasts)))
 }
 
-// Step returns what is to be done now.
+// Step decides how the order proceeds in a situation.
 func (c *Controller) Step(s Situation) Step {
-	last := c.isLast(s)
+	final := c.mustDecide(s)
 	reason, bad := c.Judge.Bad()
 	switch {
-	case bad && (s.Complete || last):
+	case bad && (s.Complete || final):
 		return Step{State: RolledBack, Reason: reason}
 	case bad:
-		// Bad answers are reported at once, what both versions do alike is not.
+		// Nodes report bad answers of the new version at once, and those of the old version
+		// later. Waits for complete evidence, which may show that both versions fail alike.
 		return Step{State: Running, Phase: "doubt", Reason: reason}
 	case s.Withdrawn:
 		return Step{State: RolledBack, Reason: "the order was withdrawn"}
-	case s.Targets.New == 0 && last:
+	case s.Targets.New == 0 && final:
 		return Step{State: RolledBack, Reason: "no target of the version came"}
 	case s.Targets.New == 0:
 		return Step{State: Running, Phase: "waiting", Reason: "no target of the version is there"}
 	case !c.moving.IsZero():
-		return c.move(s, last)
+		return c.moveStep(s, final)
 	}
-	return c.try(s, last)
+	return c.trialStep(s, final)
 }
 
-// isLast reports whether the order is to be decided now.
-func (c *Controller) isLast(s Situation) bool {
-	before := lastMoment
-	if s.minority() {
-		before = lastMomentOfMinority
+// mustDecide reports whether the order must be decided in this step.
+func (c *Controller) mustDecide(s Situation) bool {
+	before := decisionMargin
+	if s.isMinority() {
+		before = minorityDecisionMargin
 	}
 	return !s.Now.Before(c.deadline().Add(-before))
 }
 
-// try sends a bounded share to the new version until it is known well enough.
-func (c *Controller) try(s Situation, last bool) Step {
-	all, least := c.Judge.Seen()
+// trialStep sends a bounded share of the calls to the new version until it has enough answers.
+func (c *Controller) trialStep(s Situation, final bool) Step {
+	all, least := c.Judge.AnswerCounts()
 	switch {
-	case all < fewest && (last || !s.minority() && s.Now.After(c.at(moveUntil))):
+	case all < minAnswers && (final || !s.isMinority() && s.Now.After(c.at(moveUntil))):
 		return Step{State: RolledBack, Reason: fmt.Sprintf("only %.0f answers to judge the version by", all)}
-	case all >= fewest && s.Targets.Warm > 0 && (s.Now.After(c.at(tryAtMost)) || least >= enough && c.bursts >= len(burstShares) && s.Now.After(c.at(tryUntil))):
+	case all >= minAnswers && s.Targets.Warm > 0 && (s.Now.After(c.at(maxTrialUntil)) || least >= minRouteAnswers && c.bursts >= len(burstShares) && s.Now.After(c.at(trialUntil))):
 		c.moving = s.Now
-		return c.move(s, last)
-	case all >= fewest && s.Targets.Warm > 0 && s.Now.After(c.at(spreadUntil)):
-		return c.burst(s)
+		return c.moveStep(s, final)
+	case all >= minAnswers && s.Targets.Warm > 0 && s.Now.After(c.at(spreadUntil)):
+		return c.burstStep(s)
 	}
 	return Step{State: Running, Phase: "trial", Share: c.trialShare(s), Reason: fmt.Sprintf("%.0f answers so far, %.0f on the route with the fewest", all, least)}
 }
 
-// room is how many calls more the new version may have while it is not known, if it is to have a share
-// of all. Owners of parts of the fleet have parts of the slack.
-func (c *Controller) room(s Situation, share float64) float64 {
+// remainingCalls returns how many more calls the new version may receive during its trial, given
+// its share of all calls. The slack is divided among owners by their part of the nodes.
+func (c *Controller) remainingCalls(s Situation, share float64) float64 {
 	return share*float64(s.Sent) + slackMargin*s.Part*c.Bounds.Slack - float64(s.SentNew)
 }
 
-// trialShare is the share of the calls that the new version may have while it is not known.
+// trialShare returns the share of the calls that the new version receives during the trial.
 func (c *Controller) trialShare(s Situation) float64 {
-	if c.room(s, c.Bounds.Share) <= 0 {
+	if c.remainingCalls(s, c.Bounds.Share) <= 0 {
 		return 0
 	}
 	share := shareMargin * c.Bounds.Share
-	coming := s.PerSecond * c.at(tryAtMost).Sub(s.Now).Seconds()
+	coming := s.PerSecond * c.at(maxTrialUntil).Sub(s.Now).Seconds()
 	if coming <= 0 {
 		return share
 	}
-	// Half of what is spare is kept for bursts.
-	spare := (c.room(s, share) + share*coming) / 2
-	need := min(wanted-float64(s.SentNew), spare) / coming
+	// Half of the remaining calls is reserved for bursts.
+	spare := (c.remainingCalls(s, share) + share*coming) / 2
+	need := min(wantedAnswers-float64(s.SentNew), spare) / coming
 	return min(max(share, need), 1)
 }
 
-// burst sends a large share to the new version for a moment, as often as the bound allows.
-func (c *Controller) burst(s Situation) Step {
+// burstStep sends a large share of the calls to the new version for burstTime, as often as the
+// bounds allow.
+func (c *Controller) burstStep(s Situation) Step {
 	step := Step{State: Running, Phase: "bursts", Reason: fmt.Sprintf("%d bursts so far", c.bursts)}
 	share := burstShares[min(c.bursts, len(burstShares)-1)]
 	if s.Now.Before(c.burstEnds) {
 		step.Share = burstShares[min(max(c.bursts-1, 0), len(burstShares)-1)]
 		return step
 	}
-	spare := c.room(s, shareMargin*c.Bounds.Share)
+	spare := c.remainingCalls(s, shareMargin*c.Bounds.Share)
 	if s.PerSecond > 0 && s.Now.Sub(c.burstEnds) >= burstPause && spare >= burstMargin*share*s.PerSecond*burstTime.Seconds() {
 		c.bursts++
 		c.burstEnds = s.Now.Add(burstTime)
@@ -199,13 +209,14 @@
 		return step
 	}
 	if spare > 0 {
-		step.Share = min(trickle, shareMargin*c.Bounds.Share)
+		step.Share = min(pauseShare, shareMargin*c.Bounds.Share)
 	}
 	return step
 }
 
-// move shifts the traffic in steps and ends the order once nothing is left at the old version.
-func (c *Controller) move(s Situation, last bool) Step {
+// moveStep moves the traffic in steps and completes the order once no call is in flight at the old
+// version.
+func (c *Controller) moveStep(s Situation, final bool) Step {
 	step := max(c.at(moveUntil).Sub(c.moving)/time.Duration(len(moveShares)), 0)
 	i := len(moveShares) - 1
 	if step > 0 {
@@ -218,7 +229,7 @@
 	if c.settled.IsZero() {
 		c.settled = s.Now
 	}
-	if last || !s.minority() && s.OldInFlight == 0 && s.Now.Sub(c.settled) >= settleTime {
+	if final || !s.isMinority() && s.OldInFlight == 0 && s.Now.Sub(c.settled) >= settleTime {
 		return Step{State: Completed, Share: 1, Reason: "all traffic goes to the version, which is held to be good"}
 	}
 	return Step{State: Running, Phase: "settling", Share: 1, Reason: fmt.Sprintf("%d calls are left at the old version", s.OldInFlight)}
--- a/internal/rollout/controller_test.go
+++ b/internal/rollout/controller_test.go
@@ -13,11 +13,11 @@
 	return &Controller{Order: Order{Service: "s", To: "v2", Lasts: lasts}, Bounds: Bounds{Share: 0.1, Slack: 50}, Began: start, Judge: NewJudge()}
 }
 
-// goodFor feeds the judge with good answers of both versions.
-func goodFor(c *Controller, answers int) {
+// addGoodAnswers gives the judge the same number of good answers of both versions.
+func addGoodAnswers(c *Controller, answers int) {
 	var t Tally
 	t.Took[bucketOf(20*time.Millisecond)] = uint32(answers)
-	c.Judge.Take(map[Source]Tally{{Route: "a"}: t, {Route: "a", New: true, Target: "t"}: t})
+	c.Judge.Add(map[Source]Tally{{Route: "a"}: t, {Route: "a", New: true, Target: "t"}: t})
 }
 
 func TestTrialKeepsToItsBoundWhateverTheLoad(t *testing.T) {
@@ -31,7 +31,7 @@
 			}
 			sent += perStep
 			sentNew += step.Share * perStep
-			goodFor(c, max(int(step.Share*perStep), 0))
+			addGoodAnswers(c, max(int(step.Share*perStep), 0))
 		}
 		qt.Check(t, sentNew <= c.Bounds.Share*sent+c.Bounds.Slack, qt.IsTrue, qt.Commentf("%v a step: %v of %v", perStep, sentNew, sent))
 	}
@@ -40,7 +40,7 @@
 func TestOrderIsCompletedOnceNothingIsLeftAtTheOldVersion(t *testing.T) {
 	c := newController(20 * time.Second)
 	s := Situation{Now: start, Targets: Targets{New: 4, Warm: 4, Old: 4}, Part: 1, Sent: 1000, SentNew: 50, PerSecond: 200, OldInFlight: 3}
-	goodFor(c, 200)
+	addGoodAnswers(c, 200)
 	for s.Now.Before(c.at(moveUntil)) {
 		qt.Assert(t, c.Step(s).State, qt.Equals, Running)
 		s.Now = s.Now.Add(stepInterval)
@@ -55,13 +55,14 @@
 
 func TestOrderWithoutAnswersIsRolledBack(t *testing.T) {
 	c := newController(20 * time.Second)
-	s := Situation{Now: c.deadline().Add(-lastMoment), Targets: Targets{New: 4, Warm: 4}, Part: 1, Sent: 3, SentNew: 1, PerSecond: 1}
+	s := Situation{Now: c.deadline().Add(-decisionMargin), Targets: Targets{New: 4, Warm: 4}, Part: 1, Sent: 3, SentNew: 1, PerSecond: 1}
 	qt.Assert(t, c.Step(s).State, qt.Equals, RolledBack)
 	s.Targets = Targets{}
 	qt.Assert(t, c.Step(s).Reason, qt.Equals, "no target of the version came")
 }
 
-// Owners of parts of a fleet have parts of the slack, and the last word after the others.
+// An owner with a part of the nodes has that part of the slack. With a minority of the nodes it
+// decides one step after other owners would.
 func TestOwnerOfAPartOfTheNodesMayDoLess(t *testing.T) {
 	c := newController(20 * time.Second)
 	s := Situation{Now: start, Targets: Targets{New: 4, Warm: 4}, Part: 1, SentNew: 10}
@@ -69,7 +70,7 @@
 	s.Part = 0.4
 	qt.Check(t, c.Step(s).Share, qt.Equals, 0.0)
 
-	s.Now = c.deadline().Add(-lastMoment)
+	s.Now = c.deadline().Add(-decisionMargin)
 	qt.Check(t, c.Step(s).State, qt.Equals, Running)
 	s.Now = s.Now.Add(stepInterval)
 	qt.Check(t, c.Step(s).State, qt.Equals, RolledBack)
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// buckets is the number of classes of durations: half octaves from 1 ms to 65 s.
+// buckets is the number of duration classes: half octaves from 1 ms to 65 s.
 const buckets = 32
 
-// bucketOf returns the class of a duration.
+// bucketOf returns the duration class of d.
 func bucketOf(d time.Duration) int {
 	ms := float64(d) / float64(time.Millisecond)
 	if ms <= 1 {
@@ -18,16 +18,16 @@
 	return min(int(2*math.Log2(ms)), buckets-1)
 }
 
-// Tally counts the answers of some targets since an order came.
+// Tally counts the ends of calls at some targets since an order was received.
 type Tally struct {
-	// Bad are failures and answers that broke off.
+	// Bad counts failures and answers that broke off.
 	Bad uint32
-	// Took are the good answers by how long they took, Left the calls that were given up
-	// without an answer by how long they had lasted.
+	// Took counts the good answers by the duration of their calls. Left counts the calls that were
+	// abandoned without an answer, by their duration until then.
 	Took, Left [buckets]uint32
 }
 
-// add counts what another Tally has.
+// add adds the counts of another Tally.
 func (t *Tally) add(o Tally) {
 	t.Bad += o.Bad
 	for i := range buckets {
@@ -36,21 +36,22 @@
 	}
 }
 
-// since returns what was counted after an earlier Tally; all of it where the counting began anew.
+// since returns the counts added after an earlier Tally of the same node. If a count is lower than
+// before, the node restarted: all counts are new then.
 func (t Tally) since(before Tally) Tally {
 	out := Tally{Bad: t.Bad - before.Bad}
-	anew := t.Bad < before.Bad
+	restarted := t.Bad < before.Bad
 	for i := range buckets {
-		anew = anew || t.Took[i] < before.Took[i] || t.Left[i] < before.Left[i]
+		restarted = restarted || t.Took[i] < before.Took[i] || t.Left[i] < before.Left[i]
 		out.Took[i], out.Left[i] = t.Took[i]-before.Took[i], t.Left[i]-before.Left[i]
 	}
-	if anew {
+	if restarted {
 		return t
 	}
 	return out
 }
 
-// answers counts all that were answered, well or badly.
+// answers returns the number of good and bad answers.
 func (t Tally) answers() float64 {
 	n := float64(t.Bad)
 	for i := range buckets {
@@ -59,9 +60,9 @@
 	return n
 }
 
-// beyond counts what took longer than a class of durations. Of a call that was given up sooner it
-// isn't known how long it would have taken.
-func (t Tally) beyond(class int) float64 {
+// slowerThan counts the calls in longer duration classes than class, abandoned ones included. It
+// omits calls that were abandoned earlier: how long they would have taken is unknown.
+func (t Tally) slowerThan(class int) float64 {
 	var n float64
 	for i := class + 1; i < buckets; i++ {
 		n += float64(t.Took[i]) + float64(t.Left[i])
@@ -69,36 +70,38 @@
 	return n
 }
 
-// Source is what a Tally is of.
+// Source identifies the calls that a Tally counts.
 type Source struct {
 	Route string
-	// New says that it is of the new version, at the Target; the old one is counted as a whole.
+	// New says that the calls went to the new version, at Target. Targets of the old version share
+	// one Tally for each route, with an empty Target.
 	New    bool
 	Target string
 }
 
-// Evidence is what nodes saw since an order came. Its counts only rise.
+// Evidence counts the calls of one node for a service since the node received an order. Its counts
+// only rise while the process of the node runs.
 type Evidence struct {
 	Tallies map[Source]Tally
-	// Sent counts the calls for the service, SentNew those among them to the new version.
+	// Sent counts the calls for the service, SentNew those to the new version.
 	Sent, SentNew uint64
 }
 
-// since returns what came after earlier evidence of the same node.
+// since returns the evidence added after earlier evidence of the same node.
 func (e Evidence) since(before Evidence) Evidence {
 	out := Evidence{Tallies: make(map[Source]Tally), Sent: e.Sent - before.Sent, SentNew: e.SentNew - before.SentNew}
 	if e.Sent < before.Sent || e.SentNew < before.SentNew {
 		out.Sent, out.SentNew, before = e.Sent, e.SentNew, Evidence{}
 	}
 	for source, t := range e.Tallies {
-		if news := t.since(before.Tallies[source]); news != (Tally{}) {
-			out.Tallies[source] = news
+		if delta := t.since(before.Tallies[source]); delta != (Tally{}) {
+			out.Tallies[source] = delta
 		}
 	}
 	return out
 }
 
-// Count adds an answer, good or bad, that took some time.
+// Count adds a good or bad answer to a call of the given duration.
 func (e Evidence) Count(s Source, bad bool, took time.Duration) {
 	t := e.Tallies[s]
 	if bad {
@@ -109,7 +112,7 @@
 	e.Tallies[s] = t
 }
 
-// Clone returns a copy.
+// Clone returns a copy with a Tallies map of its own.
 func (e Evidence) Clone() Evidence {
 	e.Tallies = maps.Clone(e.Tallies)
 	return e
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -11,91 +11,100 @@
 	"topazmoor/internal/store"
 )
 
-// Report is what one node tells the owner of an order.
+// Report is the evidence and the state of one node for an order, as sent to its owner.
 type Report struct {
 	Node  string
 	Order Order
-	// Evidence is all that the node saw since the order came.
+	// Evidence counts all calls of the node since it received the order.
 	Evidence Evidence
-	// OldInFlight counts the calls of the node that the old version still works on.
+	// OldInFlight counts the calls of the node in flight at targets of the old version.
 	OldInFlight int
-	// Has is what the node goes by; the owner answers once it would have it go by something
-	// else, and after Hold.
+	// Has is the answer that the node acts on. The owner holds the report until its answer
+	// differs from Has, for Hold at most.
 	Has  Answer
 	Hold time.Duration
 }
 
-// Answer is what nodes go by.
+// Answer is the decision of an owner that nodes act on.
 type Answer struct {
 	State State
 	Share float64
 }
 
-// Remote reports to the owner of an order.
+// Remote sends reports to the owner of an order.
 type Remote interface {
 	Report(ctx context.Context, r Report) (Answer, error)
 }
 
 const (
-	// holdPerNode bounds the reports that the owner gets each second.
+	// holdPerNode is the hold of a report for each node of the fleet, between minHold and maxHold.
+	// It limits how many reports an owner receives in a second.
 	holdPerNode = 4 * time.Millisecond
-	leastHold   = 500 * time.Millisecond
-	mostHold    = 3500 * time.Millisecond
-	// leaseHolds and leaseSlack are for how long a share holds without an answer of the owner, and
-	// how long a node that does not report counts as one of the owner's.
+	minHold     = 500 * time.Millisecond
+	maxHold     = 3500 * time.Millisecond
+	// A lease lasts for leaseHolds holds and leaseSlack: so long a share is valid without a new
+	// answer of the owner, and so long the owner counts a node that sends no new report.
 	leaseHolds = 2
 	leaseSlack = time.Second
-	// reportRetry is the pause after a report without an answer, reportPause that after others.
+	// reportRetry is the pause after a report that failed, reportPause that after others.
 	reportRetry = 400 * time.Millisecond
 	reportPause = 100 * time.Millisecond
-	// maxBarred bounds the versions of a service that get nothing.
+	// maxBarred is the number of versions of a service that a node excludes from calls; the oldest
+	// entry is dropped beyond it.
 	maxBarred = 16
 )
 
-// Gate decides at one node which version a call goes to, and counts how the calls end. It is safe
-// for concurrent use. It implements suture.Service.
+// Gate selects the version that each call of one node goes to, counts how the calls end, and reports
+// the counts to the owners of the orders. It is safe for concurrent use. It implements suture.Service.
 type Gate struct {
 	Node   string
 	Remote Remote
-	// Nodes is how many nodes there are.
+	// Nodes returns the number of nodes of the fleet.
 	Nodes func() int
 	Log   *slog.Logger
 
-	mu     sync.Mutex
-	orders map[string]*standing
+	mu sync.Mutex
+	// orders holds the current order of each service.
+	orders map[string]*orderState
+	// barred lists, by service, the versions that get no calls.
 	barred map[string][]string
-	// withdrawn are the revisions of orders that do not stand any more, the newest by service.
+	// withdrawn holds, by service, the revision of the last order that ended at this node.
 	withdrawn map[string]store.Version
-	poked     chan struct{}
-	draw      func() float64
+	// ordersChanged signals Serve that the orders changed.
+	ordersChanged chan struct{}
+	// random returns a random number in [0, 1).
+	random func() float64
 }
 
-// standing is an order that stands.
-type standing struct {
+// orderState is the state of a current order at a node.
+type orderState struct {
 	Order
 	answer Answer
-	// until is when the share lapses.
+	// until is when the share of the answer expires.
 	until    time.Time
 	evidence Evidence
-	// oldInFlight counts calls at targets of other versions.
+	// oldInFlight counts the calls in flight at targets of other versions.
 	oldInFlight int
-	// unheard says that the owner has not heard of a bad answer yet; alarm wakes the reports.
-	unheard bool
-	alarm   chan struct{}
-	// lapses counts the calls of Lapse: what was asked for before them may be old.
+	// unreportedBad says that a bad answer of the new version has not been reported yet. wake interrupts
+	// the report that is being held.
+	unreportedBad bool
+	wake          chan struct{}
+	// lapses counts the calls of Lapse. Answers to reports from before the last one are dropped:
+	// they may be outdated.
 	lapses int
+	// cancel ends the reports; nil before they start.
 	cancel context.CancelFunc
 }
 
 // NewGate returns a Gate without orders.
 func NewGate(node string, remote Remote, nodes func() int, log *slog.Logger) *Gate {
 	return &Gate{
-		Node: node, Remote: remote, Nodes: nodes, Log: log, orders: make(map[string]*standing), barred: make(map[string][]string),
-		withdrawn: make(map[string]store.Version), poked: make(chan struct{}, 1), draw: rand.Float64,
+		Node: node, Remote: remote, Nodes: nodes, Log: log, orders: make(map[string]*orderState), barred: make(map[string][]string),
+		withdrawn: make(map[string]store.Version), ordersChanged: make(chan struct{}, 1), random: rand.Float64,
 	}
 }
 
-// SetOrders takes in the orders that stand.
+// SetOrders replaces the current orders by list. Orders that are missing or changed in it end.
 func (g *Gate) SetOrders(list []Order) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -108,7 +117,7 @@
 		}
 		g.end(s)
 		g.barred[o.Service] = slices.DeleteFunc(g.barred[o.Service], func(v string) bool { return v == o.To })
-		g.orders[o.Service] = &standing{Order: o, evidence: Evidence{Tallies: make(map[Source]Tally)}, alarm: make(chan struct{}, 1)}
+		g.orders[o.Service] = &orderState{Order: o, evidence: Evidence{Tallies: make(map[Source]Tally)}, wake: make(chan struct{}, 1)}
 	}
 	for service, s := range g.orders {
 		if !stand[service] {
@@ -117,14 +126,14 @@
 		}
 	}
 	select {
-	case g.poked <- struct{}{}:
+	case g.ordersChanged <- struct{}{}:
 	default:
 	}
 }
 
-// end notes that an order does not stand any more: unless it was completed, its version gets
-// nothing. The lock is held.
-func (g *Gate) end(s *standing) {
+// end ends the reports on an order that was removed or replaced. Unless the order was completed, its
+// version gets no calls from then on. The lock is held.
+func (g *Gate) end(s *orderState) {
 	if s == nil {
 		return
 	}
@@ -139,8 +148,8 @@
 	g.barred[s.Service] = barred[max(len(barred)-maxBarred, 0):]
 }
 
-// Lapse takes all shares back until the owner answers anew: the host stood still, and its clock with
-// it.
+// Lapse expires all shares until the owner answers a new report. It is called after the host was
+// suspended, since the clock of the process stood still then.
 func (g *Gate) Lapse() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -148,13 +157,13 @@
 		s.lapses++
 		s.until = time.Time{}
 		select {
-		case s.alarm <- struct{}{}:
+		case s.wake <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// Withdrawn reports whether an order stood at this node and does not any more.
+// Withdrawn reports whether this node has ended the order or a later one of its service.
 func (g *Gate) Withdrawn(o Order) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -163,8 +172,8 @@
 }
 
 // Lanes returns the groups of targets that a call for a service may go to, the preferred one
-// first; nil for all. again says that the request was sent before: it has no part in a trial.
-// others reports whether targets of other versions are listed.
+// first; nil if all targets are allowed. again says that the request is repeated: repeats are not
+// sent to a version on trial. others reports whether targets of versions other than version exist.
 func (g *Gate) Lanes(service string, again bool, others func(version string) bool) []Lane {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -180,24 +189,24 @@
 	case s.answer.State == Completed:
 		return []Lane{{Only: s.To, Barred: barred}, {Barred: barred}}
 	case s.answer.State == Unknown && !others(s.To):
-		// Where the old targets are gone the order was completed, as far as can be known.
+		// No target of another version exists, so the order was probably completed.
 		return []Lane{{Barred: barred}}
-	case again || g.draw() >= s.share(time.Now()):
+	case again || g.random() >= s.share(time.Now()):
 		return []Lane{old}
 	}
 	return []Lane{{Only: s.To, Barred: barred, Part: s.answer.Share}, old}
 }
 
-// share is the share that the new version may have now.
-func (s *standing) share(now time.Time) float64 {
-	if s.unheard || s.answer.State != Running || now.After(s.until) {
+// share returns the share of the calls that the new version gets at a time.
+func (s *orderState) share(now time.Time) float64 {
+	if s.unreportedBad || s.answer.State != Running || now.After(s.until) {
 		return 0
 	}
 	return s.answer.Share
 }
 
-// Trial returns the version of a service that is on trial with the share of the calls that it may
-// have; "" for none.
+// Trial returns the version that a service's order moves traffic to, and its present share of the
+// calls; "" without an order or after it was completed.
 func (g *Gate) Trial(service string) (version string, share float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -208,19 +217,19 @@
 	return s.To, s.share(time.Now())
 }
 
-// Barred returns the versions of a service that get nothing.
+// Barred returns the versions of a service that get no calls.
 func (g *Gate) Barred(service string) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return slices.Clone(g.barred[service])
 }
 
-// Call is one call of a target, as evidence.
+// Call identifies a call of a target in the evidence.
 type Call struct {
 	Service, Version, Target, Route string
 }
 
-// Sent counts a call.
+// Sent counts a call that is sent to a target.
 func (g *Gate) Sent(c Call) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -239,16 +248,20 @@
 // Outcome is how a call ended.
 type Outcome uint8
 
-// The outcomes of calls. Calls that were not run, or of which nothing is known, are Nothing.
+// The outcomes of calls.
 const (
+	// Good: the target answered without a failure.
 	Good Outcome = iota
+	// Bad: the call failed.
 	Bad
-	// Left calls were given up without an answer.
+	// Left: the caller abandoned the call without an answer.
 	Left
+	// Nothing: the call was not run, or its end says nothing about the version.
 	Nothing
 )
 
-// Ended counts how a call of Sent ended, after the time that it took to its answer.
+// Ended counts the outcome of a call that Sent counted. took is the time until its answer, or until it
+// was abandoned.
 func (g *Gate) Ended(c Call, outcome Outcome, took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -271,9 +284,9 @@
 	case Bad:
 		t.Bad++
 		if source.New {
-			s.unheard = true
+			s.unreportedBad = true
 			select {
-			case s.alarm <- struct{}{}:
+			case s.wake <- struct{}{}:
 			default:
 			}
 		}
@@ -283,7 +296,7 @@
 	s.evidence.Tallies[source] = t
 }
 
-// Serve implements suture.Service: it reports to the owners of the orders.
+// Serve implements suture.Service. It reports on each order to its owner.
 func (g *Gate) Serve(ctx context.Context) error {
 	for {
 		g.mu.Lock()
@@ -298,38 +311,39 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-g.poked:
+		case <-g.ordersChanged:
 		}
 	}
 }
 
-// report reports on an order until it is decided.
-func (g *Gate) report(ctx context.Context, s *standing) {
+// report sends reports on an order until the owner's answer is final. A bad answer of the new version
+// interrupts a report that is being held, so that it is reported at once.
+func (g *Gate) report(ctx context.Context, s *orderState) {
 	for ctx.Err() == nil {
-		r, unheard, lapses := g.next(s)
+		r, unreportedBad, lapses := g.next(s)
 		call, cancel := context.WithCancel(ctx)
 		waits := make(chan struct{})
 		go func() {
 			defer close(waits)
 			select {
-			case <-s.alarm:
+			case <-s.wake:
 				cancel()
 			case <-call.Done():
 			}
 		}()
 		answer, err := g.Remote.Report(call, r)
-		alarmed := call.Err() != nil
+		woken := call.Err() != nil
 		cancel()
 		<-waits
 		pause := reportPause
 		switch {
 		case err == nil:
-			if g.heard(s, r, unheard, lapses, answer) {
+			if g.applyAnswer(s, r, unreportedBad, lapses, answer) {
 				return
 			}
-		case !alarmed:
+		case !woken:
 			pause = reportRetry
-			g.lost(s, err)
+			g.reportFailed(s, err)
 		}
 		select {
 		case <-ctx.Done():
@@ -338,29 +352,30 @@
 	}
 }
 
-// HoldOf returns for how long an owner holds the report of a node in a fleet of some nodes.
+// HoldOf returns how long an owner holds a report in a fleet of a number of nodes.
 func HoldOf(nodes int) time.Duration {
-	return min(max(time.Duration(nodes)*holdPerNode, leastHold), mostHold)
+	return min(max(time.Duration(nodes)*holdPerNode, minHold), maxHold)
 }
 
-// LeaseOf returns how long an owner and a node that reports count on each other, by the time for
-// which the report is held.
+// LeaseOf returns the lease of a report that is held for hold: how long its answer is valid at the
+// node, and how long the owner counts the node as reporting.
 func LeaseOf(hold time.Duration) time.Duration { return leaseHolds*hold + leaseSlack }
 
-// next returns the next report, whether it tells of a bad answer, and how many lapses it follows.
-func (g *Gate) next(s *standing) (r Report, unheard bool, lapses int) {
+// next returns the next report, whether it reports a new bad answer, and the count of lapses at that
+// time.
+func (g *Gate) next(s *orderState) (r Report, unreportedBad bool, lapses int) {
 	hold := HoldOf(g.Nodes())
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r = Report{Node: g.Node, Order: s.Order, Evidence: s.evidence.Clone(), OldInFlight: s.oldInFlight, Has: s.answer, Hold: hold}
-	if s.unheard {
+	if s.unreportedBad {
 		r.Hold = 0
 	}
-	return r, s.unheard, s.lapses
+	return r, s.unreportedBad, s.lapses
 }
 
-// heard takes in an answer, and reports whether the order is decided.
-func (g *Gate) heard(s *standing, r Report, unheard bool, lapses int, a Answer) (decided bool) {
+// applyAnswer applies the owner's answer to a report, and reports whether the order is decided.
+func (g *Gate) applyAnswer(s *orderState, r Report, unreportedBad bool, lapses int, a Answer) (decided bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if lapses != s.lapses {
@@ -371,13 +386,13 @@
 	}
 	s.answer = a
 	s.until = time.Now().Add(LeaseOf(r.Hold))
-	if unheard && s.evidence.newBad() == r.Evidence.newBad() {
-		s.unheard = false
+	if unreportedBad && s.evidence.newBad() == r.Evidence.newBad() {
+		s.unreportedBad = false
 	}
 	return a.State.Final()
 }
 
-// newBad counts the bad answers of the new version.
+// newBad returns the number of bad answers of the new version.
 func (e Evidence) newBad() (n uint32) {
 	for source, t := range e.Tallies {
 		if source.New {
@@ -387,8 +402,8 @@
 	return n
 }
 
-// lost notes a report without an answer.
-func (g *Gate) lost(s *standing, err error) {
+// reportFailed handles a report that failed: it ends the share once the lease is over.
+func (g *Gate) reportFailed(s *orderState, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if time.Now().After(s.until) && s.answer.Share > 0 && s.answer.State == Running {
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -7,38 +7,41 @@
 )
 
 const (
-	// alarm is the likelihood ratio, as a logarithm, from which a version is held to be bad: one
-	// false alarm in about 100,000 answers of a route.
-	alarm = 11.5
-	// leastRate is the least rate of bad answers that the old version is held to have, so that a
-	// single bad answer proves nothing.
-	leastRate = 0.02
-	// routeExcess is the excess of bad answers on one route that must be found, overallExcess
-	// that on all routes together, as shares of the answers.
+	// badThreshold is the logarithm of the likelihood ratio from which a version counts as bad. It
+	// gives one false detection in about 100,000 answers of a route.
+	badThreshold = 11.5
+	// minRate is the lowest rate of bad answers that is assumed of the old version, so that a
+	// single bad answer of the new one is not enough to count it as bad.
+	minRate = 0.02
+	// routeExcess is the excess of bad answers on one route that the test detects, overallExcess
+	// that on all routes together; both are shares of the answers.
 	routeExcess   = 0.15
 	overallExcess = 0.07
-	// slowTail is the part of the old version's answers that count as slow.
+	// slowTail is the part of the old version's calls that may count as slow.
 	slowTail = 0.02
-	// leastOld is the number of the old version's answers from which its speed is known.
-	leastOld = 20
-	// fewTargets is the number of targets below which a fault of one of them cannot be told from
-	// one of the version.
-	fewTargets = 3
-	// othersShare is the part of the answers that others must have given for the same.
-	othersShare = 0.5
-	// fade is the part of the old version's counts that is kept from one step to the next, so
-	// that troubles of both versions are compared as they are now.
-	fade = 0.99
-	// recentFade is the same for its failures of the last second or two, and leastRecent the number
-	// of answers from which they tell: a trouble that both versions have begins and ends at once.
-	recentFade  = 0.85
-	leastRecent = 5
+	// minOldAnswers is the number of the old version's answers from which its durations and its
+	// rate of bad answers are known.
+	minOldAnswers = 20
+	// minTargets is the number of targets below which a fault of one target cannot be
+	// distinguished from a fault of the version.
+	minTargets = 3
+	// minOthersShare is the part of the answers that must come from targets other than the worst
+	// one, for the same reason.
+	minOthersShare = 0.5
+	// oldDecay is the factor on the old version's counts from one step to the next, so that the
+	// comparison uses its present state.
+	oldDecay = 0.99
+	// recentDecay is the same factor for its failures of the last one or two seconds, minRecentAnswers
+	// the number of recent answers from which their rate is used: a fault that affects both versions
+	// begins and ends at the same time in both.
+	recentDecay      = 0.85
+	minRecentAnswers = 5
 )
 
 // Judge compares two versions by a sequential test of their bad and slow answers, by route and
 // over all routes: the cumulative sum of likelihood ratios between an excess of bad answers and
-// none, which also finds a version that turns bad later. A fault of one target alone is not taken
-// for one of the version.
+// none, which also detects a version that turns bad later. A fault of a single target does not count
+// as a fault of the version.
 type Judge struct {
 	routes map[string]*comparison
 	all    comparison
@@ -49,7 +52,7 @@
 	return &Judge{routes: make(map[string]*comparison), all: comparison{excess: overallExcess}}
 }
 
-// clone returns a copy.
+// clone returns a deep copy.
 func (j *Judge) clone() *Judge {
 	out := &Judge{routes: make(map[string]*comparison, len(j.routes)), all: j.all.clone()}
 	for name, c := range j.routes {
@@ -59,75 +62,77 @@
 	return out
 }
 
-// takeTogether takes in what came in some steps.
-func (j *Judge) takeTogether(news map[Source]Tally, steps int) {
+// addSteps adds the tallies of several steps at once.
+func (j *Judge) addSteps(delta map[Source]Tally, steps int) {
 	for range steps - 1 {
-		j.fadeOld()
+		j.decayOld()
 	}
-	j.Take(news)
+	j.Add(delta)
 }
 
-func (j *Judge) fadeOld() {
+func (j *Judge) decayOld() {
 	for _, c := range j.routes {
-		c.fadeOld()
+		c.decayOld()
 	}
-	j.all.fadeOld()
+	j.all.decayOld()
 }
 
-// comparison is the test of one route, or of all.
+// comparison is the sequential test of one route, or of all routes together.
 type comparison struct {
+	// excess is the excess of bad answers, as a share of the answers, that the test detects.
 	excess float64
-	// old are the faded counts of the old version.
+	// The counts of the old version decay with oldDecay, the recent ones with recentDecay.
 	oldAnswers, oldBad       float64
 	recentAnswers, recentBad float64
 	oldTook                  [buckets]float64
 	oldLeft                  [buckets]float64
-	// answered and bad count the new version's answers by target.
+	// answered counts the new version's answers by target, bad its bad and slow ones.
 	answered, bad map[string]float64
-	// score is the sum for all targets, others that without the worst one.
+	// score is the cumulative sum for all targets, others that without the worst target.
 	score, others float64
 }
 
-// Take takes in what came since the last call.
-func (j *Judge) Take(news map[Source]Tally) {
-	j.fadeOld()
-	for source, t := range news {
+// Add adds the tallies since the last call and decays the old version's counts by one step.
+func (j *Judge) Add(delta map[Source]Tally) {
+	j.decayOld()
+	for source, t := range delta {
 		if !source.New {
 			j.route(source.Route).addOld(t)
 			j.all.addOld(t)
 		}
 	}
-	byRoute := make(map[string][]counted)
-	var overall []counted
-	for source, t := range news {
+	byRoute := make(map[string][]targetCount)
+	var overall []targetCount
+	for source, t := range delta {
 		if !source.New {
 			continue
 		}
-		n := j.count(source, t)
+		n := j.classify(source, t)
 		byRoute[source.Route] = append(byRoute[source.Route], n)
 		overall = append(overall, n)
 	}
 	for route, counts := range byRoute {
-		j.route(route).take(counts, j.route(route).rate(j.all.rate(leastRate)))
+		j.route(route).addNew(counts, j.route(route).rate(j.all.rate(minRate)))
 	}
-	j.all.take(overall, j.all.rate(leastRate))
+	j.all.addNew(overall, j.all.rate(minRate))
 }
 
-// counted are answers of one target of the new version.
-type counted struct {
+// targetCount counts the good answers, and the bad or slow ones, of one target of the new version.
+type targetCount struct {
 	target    string
 	good, bad float64
 }
 
-// count tells good answers from bad and slow ones, by the old version on the same route.
-func (j *Judge) count(source Source, t Tally) counted {
-	slow := t.beyond(j.route(source.Route).slowFrom())
+// classify divides the answers of a target into good ones, and bad or slow ones. Answers are slow
+// by comparison with the old version on the same route.
+func (j *Judge) classify(source Source, t Tally) targetCount {
+	slow := t.slowerThan(j.route(source.Route).slowFrom())
 	var took float64
 	for i := range buckets {
 		took += float64(t.Took[i])
 	}
 	bad := float64(t.Bad) + slow
-	return counted{target: source.Target, bad: bad, good: max(took-slow, 0)}
+	return targetCount{target: source.Target, bad: bad, good: max(took-slow, 0)}
 }
 
 func (j *Judge) route(name string) *comparison {
@@ -145,11 +150,11 @@
 	return out
 }
 
-func (c *comparison) fadeOld() {
-	c.oldAnswers, c.oldBad = fade*c.oldAnswers, fade*c.oldBad
-	c.recentAnswers, c.recentBad = recentFade*c.recentAnswers, recentFade*c.recentBad
+func (c *comparison) decayOld() {
+	c.oldAnswers, c.oldBad = oldDecay*c.oldAnswers, oldDecay*c.oldBad
+	c.recentAnswers, c.recentBad = recentDecay*c.recentAnswers, recentDecay*c.recentBad
 	for i := range buckets {
-		c.oldTook[i], c.oldLeft[i] = fade*c.oldTook[i], fade*c.oldLeft[i]
+		c.oldTook[i], c.oldLeft[i] = oldDecay*c.oldTook[i], oldDecay*c.oldLeft[i]
 	}
 }
 
@@ -164,10 +169,11 @@
 	}
 }
 
-// slowFrom returns the class of durations above which an answer is slow: the end of what the old
-// version takes, and one class more, as loads differ a little.
+// slowFrom returns the duration class above which an answer is slow: one class above the slowest
+// class of the old version, slowTail of its answers aside, as the loads of the versions differ a
+// little.
 func (c *comparison) slowFrom() int {
-	if c.oldAnswers < leastOld {
+	if c.oldAnswers < minOldAnswers {
 		return buckets
 	}
 	var tail float64
@@ -179,9 +185,10 @@
 	return buckets
 }
 
-// rate returns the old version's rate of bad and slow answers; otherwise where little is known.
+// rate returns the old version's rate of bad and slow answers, or otherwise if the old version has
+// fewer than minOldAnswers.
 func (c *comparison) rate(otherwise float64) float64 {
-	if c.oldAnswers < leastOld {
+	if c.oldAnswers < minOldAnswers {
 		return otherwise
 	}
 	slow := 0.0
@@ -189,14 +196,15 @@
 		slow += c.oldTook[i] + c.oldLeft[i]
 	}
 	recent := 0.0
-	if c.recentAnswers >= leastRecent {
+	if c.recentAnswers >= minRecentAnswers {
 		recent = c.recentBad / c.recentAnswers
 	}
-	return max((c.oldBad+slow)/c.oldAnswers, recent, leastRate)
+	return max((c.oldBad+slow)/c.oldAnswers, recent, minRate)
 }
 
-// take adds answers of the new version, against the old one's rate of bad ones.
-func (c *comparison) take(counts []counted, rate float64) {
+// addNew adds answers of the new version and updates the scores, given the old version's rate of
+// bad answers.
+func (c *comparison) addNew(counts []targetCount, rate float64) {
 	if c.answered == nil {
 		c.answered, c.bad = make(map[string]float64), make(map[string]float64)
 	}
@@ -216,15 +224,15 @@
 	c.others = max(0, c.others+ratio(otherGood, otherBad, rate, c.excess))
 }
 
-// ratio is the logarithm of how much likelier answers are under an excess of bad ones than
-// without it.
+// ratio returns the logarithm of the likelihood ratio of the answers between an excess of bad ones
+// and none.
 func ratio(good, bad, rate, excess float64) float64 {
 	rate = min(rate, 0.9)
 	raised := min(rate+excess, 0.99)
 	return bad*math.Log(raised/rate) + good*math.Log((1-raised)/(1-rate))
 }
 
-// worst returns the target with the most bad answers; "" for none.
+// worst returns the target with the most bad answers; "" if there are none.
 func (c *comparison) worst() string {
 	worst := ""
 	for target, n := range c.bad {
@@ -235,7 +243,8 @@
 	return worst
 }
 
-// isBad reports whether the new version is held to be bad.
+// isBad reports whether the new version counts as bad. The worst target is left out if there are
+// enough targets and enough answers of the others.
 func (c *comparison) isBad() bool {
 	worst := c.worst()
 	var all, others float64
@@ -245,44 +254,44 @@
 			others += n
 		}
 	}
-	if len(c.answered) < fewTargets || others < othersShare*all {
-		return c.score >= alarm
+	if len(c.answered) < minTargets || others < minOthersShare*all {
+		return c.score >= badThreshold
 	}
-	return c.others >= alarm
+	return c.others >= badThreshold
 }
 
-// Bad reports whether the new version is held to be bad, and why.
+// Bad reports whether the new version counts as bad, and why.
 func (j *Judge) Bad() (reason string, bad bool) {
 	for name, c := range j.routes {
 		if c.isBad() {
-			return fmt.Sprintf("on route %s %s", name, c.told()), true
+			return fmt.Sprintf("on route %s %s", name, c.describe()), true
 		}
 	}
 	if j.all.isBad() {
-		return "over all routes " + j.all.told(), true
+		return "over all routes " + j.all.describe(), true
 	}
 	return "", false
 }
 
-// told describes a comparison.
-func (c *comparison) told() string {
+// describe returns the counts of the comparison as text for operators.
+func (c *comparison) describe() string {
 	var answers, bad float64
 	for target, n := range c.answered {
 		answers += n
 		bad += c.bad[target]
 	}
-	return fmt.Sprintf("%.0f of %.0f answers were bad or slow, of the old version's %.1f%%", bad, answers, 100*c.rate(leastRate))
+	return fmt.Sprintf("%.0f of %.0f answers were bad or slow, of the old version's %.1f%%", bad, answers, 100*c.rate(minRate))
 }
 
-// Seen returns the number of answers of the new version, and the least number on a route on
-// which the old version is known.
-func (j *Judge) Seen() (all, least float64) {
+// AnswerCounts returns the number of the new version's answers on all routes, and the lowest
+// number on a route on which the old version has at least minOldAnswers.
+func (j *Judge) AnswerCounts() (all, least float64) {
 	for _, n := range j.all.answered {
 		all += n
 	}
 	least = math.Inf(1)
 	for _, c := range j.routes {
-		if c.oldAnswers < leastOld {
+		if c.oldAnswers < minOldAnswers {
 			continue
 		}
 		var n float64
--- a/internal/rollout/judge_test.go
+++ b/internal/rollout/judge_test.go
@@ -9,23 +9,24 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// answersOf draws the answers of one step: of the old version by its rate of failures, and of the
-// new one by route and target.
+// answersOf draws the answers of one step: those of the old version by its rate of failures, those
+// of the new one by its rate of failures for each route and target.
 func answersOf(rnd *rand.Rand, oldRate float64, newRate func(route, target int) float64, newAnswers int) map[Source]Tally {
 	out := make(map[Source]Tally)
 	for route := range 12 {
 		old := Source{Route: fmt.Sprint("route", route)}
-		out[old] = drawn(rnd, out[old], oldRate, 8)
+		out[old] = drawAnswers(rnd, out[old], oldRate, 8)
 	}
 	for range newAnswers {
 		route, target := rnd.IntN(12), rnd.IntN(6)
 		source := Source{Route: fmt.Sprint("route", route), New: true, Target: fmt.Sprint("t", target)}
-		out[source] = drawn(rnd, out[source], newRate(route, target), 1)
+		out[source] = drawAnswers(rnd, out[source], newRate(route, target), 1)
 	}
 	return out
 }
 
-func drawn(rnd *rand.Rand, t Tally, rate float64, n int) Tally {
+// drawAnswers adds n answers with a rate of bad ones to a Tally.
+func drawAnswers(rnd *rand.Rand, t Tally, rate float64, n int) Tally {
 	for range n {
 		if rnd.Float64() < rate {
 			t.Bad++
@@ -36,15 +37,15 @@
 	return t
 }
 
-// judged plays steps until the judge says that the version is bad, and returns how many bad
-// answers it had by then.
-func judged(seed uint64, oldRate float64, newRate func(route, target int) float64, steps int) (bad bool, badAnswers uint32) {
+// runJudge runs steps until the judge reports that the version is bad, and returns how many bad
+// answers the version had by then.
+func runJudge(seed uint64, oldRate float64, newRate func(route, target int) float64, steps int) (bad bool, badAnswers uint32) {
 	rnd := rand.New(rand.NewPCG(seed, 3))
 	j := NewJudge()
 	for range steps {
-		news := answersOf(rnd, oldRate, newRate, 8)
-		badAnswers += Evidence{Tallies: news}.newBad()
-		j.Take(news)
+		delta := answersOf(rnd, oldRate, newRate, 8)
+		badAnswers += Evidence{Tallies: delta}.newBad()
+		j.Add(delta)
 		if _, bad = j.Bad(); bad {
 			return true, badAnswers
 		}
@@ -60,7 +61,7 @@
 		"a route fails":            func(route, _ int) float64 { return map[bool]float64{true: 1}[route == 5] },
 	} {
 		for seed := range uint64(20) {
-			bad, answers := judged(seed, 0.01, rate, 400)
+			bad, answers := runJudge(seed, 0.01, rate, 400)
 			qt.Check(t, bad, qt.IsTrue, qt.Commentf("%s, seed %d", name, seed))
 			qt.Check(t, answers < 50, qt.IsTrue, qt.Commentf("%s, seed %d: %d bad answers", name, seed, answers))
 		}
@@ -77,7 +78,7 @@
 		"a target is faulty": {0.01, func(_, target int) float64 { return map[bool]float64{true: 0.3, false: 0.01}[target == 2] }},
 	} {
 		for seed := range uint64(20) {
-			bad, _ := judged(seed, rates.old, rates.new, 120)
+			bad, _ := runJudge(seed, rates.old, rates.new, 120)
 			qt.Check(t, bad, qt.IsFalse, qt.Commentf("%s, seed %d", name, seed))
 		}
 	}
@@ -90,10 +91,10 @@
 	slow.Took[bucketOf(80*time.Millisecond)] = 4
 	slow.Left[bucketOf(2*time.Second)] = 4
 	same.Took[bucketOf(25*time.Millisecond)] = 8
-	j.Take(map[Source]Tally{{Route: "a"}: old, {Route: "a", New: true, Target: "t"}: same})
+	j.Add(map[Source]Tally{{Route: "a"}: old, {Route: "a", New: true, Target: "t"}: same})
 	_, bad := j.Bad()
 	qt.Assert(t, bad, qt.IsFalse)
-	j.Take(map[Source]Tally{{Route: "a", New: true, Target: "t"}: slow})
+	j.Add(map[Source]Tally{{Route: "a", New: true, Target: "t"}: slow})
 	_, bad = j.Bad()
 	qt.Assert(t, bad, qt.IsTrue)
 }
--- a/internal/rollout/owner.go
+++ b/internal/rollout/owner.go
@@ -8,68 +8,72 @@
 	"time"
 )
 
-// ErrSuperseded: the store has the record of a newer order.
+// ErrSuperseded reports that the store has the record of a newer order of the service.
 var ErrSuperseded = errors.New("rollout: a newer order of the service stands")
 
-// Book keeps the records of orders in the store.
+// Book writes the records of orders to the store.
 type Book interface {
-	// Save keeps a record unless the store has a final one of the same order, and returns what
-	// it has then. It fails with ErrSuperseded, or with an error of the store.
+	// Save writes a record. If the store already has a record of the same order, Save replaces it
+	// only if it is not final and r is. Save returns the record that the store has afterwards. It
+	// fails with ErrSuperseded, or with an error of the store.
 	Save(ctx context.Context, r Record) (Record, error)
 }
 
 const (
-	// stepInterval is the time between two looks at an order.
+	// stepInterval is the time between two steps of an order.
 	stepInterval = 200 * time.Millisecond
-	// saveTimeout bounds one call of the store.
+	// saveTimeout is the timeout of one write to the store.
 	saveTimeout = 2 * time.Second
 )
 
-// Owner sums up the reports on orders and decides on them. Each node has one; which node is asked
-// is for the nodes that report, so that two nodes may own an order at the same time. It is safe for
-// concurrent use.
+// Owner aggregates the reports on orders and decides on the orders. Each node has an Owner. The
+// reporting nodes choose the one that they report to, so two nodes may own an order at the same time.
+// It is safe for concurrent use.
 type Owner struct {
 	Bounds Bounds
 	Book   Book
-	// Targets counts the targets of a service as this node sees them.
+	// Targets returns the counts of the service's targets that this node knows of. Their field New
+	// counts those of version.
 	Targets func(service, version string) Targets
-	// Nodes is how many nodes there are.
+	// Nodes returns the number of nodes of the fleet.
 	Nodes func() int
-	// Withdrawn reports whether an order does not stand any more.
+	// Withdrawn reports whether an order was removed or replaced.
 	Withdrawn func(o Order) bool
 	Log       *slog.Logger
 
-	mu   sync.Mutex
+	mu sync.Mutex
+	// runs holds the orders that this owner decides on.
 	runs map[Order]*run
-	// closed owners decide nothing more.
+	// closed says that the owner makes no more decisions.
 	closed bool
 }
 
-// run is an order at its owner.
+// run is the state of an order at its owner.
 type run struct {
 	o      *Owner
 	record Record
 	trial  *Trial
-	// releases end the waits of the nodes' last reports.
+	// releases holds, by node, a channel that ends the hold of its last report when closed.
 	releases map[string]chan struct{}
 	step     Step
 	answer   Answer
 	// changed is closed when the answer changes.
 	changed chan struct{}
-	// saved says that the store has the record.
+	// saved says that the store has the present record.
 	saved bool
-	// dropped runs decide nothing more.
+	// dropped says that the owner makes no more decisions on the run.
 	dropped bool
 }
 
-// Report takes in a report and answers it once its node should go by something else.
+// Report adds a report to the evidence of its order. It answers once the answer differs from the one
+// that the node has, once the report's hold is over, or once the node sends its next report.
 func (w *Owner) Report(ctx context.Context, r Report) (Answer, error) {
 	release := make(chan struct{})
-	x := w.take(r, release)
+	x := w.addReport(r, release)
 	if x == nil {
 		return Answer{}, errClosed
 	}
-	timer := time.NewTimer(min(r.Hold, mostHold))
+	timer := time.NewTimer(min(r.Hold, maxHold))
 	defer timer.Stop()
 	for {
 		w.mu.Lock()
@@ -95,18 +99,19 @@
 
 var (
 	errUndecided = errors.New("rollout: the store does not have the order's record yet")
-	errClosed    = errors.New("rollout: this node ends")
+	errClosed    = errors.New("rollout: the owner is closed")
 )
 
-// Lapse drops what is known of all orders: the host stood still, and another node may have decided
-// on them meanwhile. Reports begin them anew.
+// Lapse drops the state of all orders. It is called after the host was suspended: another node may
+// have decided on the orders meanwhile. The next report on an order starts a new run.
 func (w *Owner) Lapse() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.drop()
 }
 
-// Close ends all decisions, for good: the node ends, and another one decides.
+// Close ends all decisions of this owner permanently. It is called when the node stops; another node
+// decides from then on.
 func (w *Owner) Close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -114,7 +119,7 @@
 	w.drop()
 }
 
-// drop forgets all orders. The lock is held.
+// drop discards the runs of all orders. The lock is held.
 func (w *Owner) drop() {
 	for _, x := range w.runs {
 		x.dropped = true
@@ -122,8 +127,9 @@
 	clear(w.runs)
 }
 
-// take adds a report to what is known of its order; nil where the owner is closed.
-func (w *Owner) take(r Report, release chan struct{}) *run {
+// addReport adds a report to the run of its order, and starts one if there is none. It returns nil if the
+// owner is closed.
+func (w *Owner) addReport(r Report, release chan struct{}) *run {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.closed {
@@ -142,7 +148,7 @@
 	return x
 }
 
-// begin starts to decide on an order. The lock is held.
+// begin starts the run of an order. The lock is held.
 func (w *Owner) begin(o Order, now time.Time) *run {
 	x := &run{
 		o: w, trial: NewTrial(o, w.Bounds, now), releases: make(map[string]chan struct{}), changed: make(chan struct{}),
@@ -152,12 +158,12 @@
 		w.runs = make(map[Order]*run)
 	}
 	w.runs[o] = x
-	w.Log.Info("this node decides on a roll-out", "service", o.Service, "to", o.To, "lasts", o.Lasts)
+	w.Log.Info("roll-out started at this owner", "service", o.Service, "to", o.To, "lasts", o.Lasts)
 	go x.decide()
 	return x
 }
 
-// decide looks at the order until nobody reports on it any more.
+// decide takes a step of the order in each stepInterval until the run is removed.
 func (x *run) decide() {
 	tick := time.NewTicker(stepInterval)
 	defer tick.Stop()
@@ -165,8 +171,8 @@
 		if !x.saved {
 			x.save()
 		}
-		forgotten, ended := x.look()
-		if forgotten {
+		removed, ended := x.evaluate()
+		if removed {
 			return
 		}
 		if ended {
@@ -176,7 +182,7 @@
 	}
 }
 
-// save writes the record, and goes by what the store has.
+// save writes the record to the store, and takes over the one that the store has afterwards.
 func (x *run) save() {
 	w := x.o
 	w.mu.Lock()
@@ -200,11 +206,13 @@
 		x.record, x.saved = kept, true
 		x.trial.control.Began = kept.Began
 	}
-	x.tell(Answer{State: x.record.State, Share: x.answer.Share})
+	x.publish(Answer{State: x.record.State, Share: x.answer.Share})
 }
 
-// look takes one step, and reports whether the order is forgotten or was ended.
-func (x *run) look() (forgotten, ended bool) {
+// evaluate takes one step of the order. removed reports that the run has no further steps, because the
+// owner dropped it or no node reports on the order any more. ended reports that this step ended the
+// order.
+func (x *run) evaluate() (removed, ended bool) {
 	w := x.o
 	order := x.trial.control.Order
 	view := View{Nodes: w.Nodes(), Targets: w.Targets(order.Service, order.To), Withdrawn: w.Withdrawn(order)}
@@ -215,40 +223,40 @@
 		return true, false
 	}
 	if x.trial.Count(now).Nodes == 0 {
-		w.Log.Info("roll-out left to other nodes: none reports here", "service", order.Service, "to", order.To, "nodes", len(x.releases))
+		w.Log.Info("ownership of the roll-out ended: no node reports to this owner", "service", order.Service, "to", order.To, "nodes", len(x.releases))
 		delete(w.runs, order)
 		return true, false
 	}
 	if x.record.State.Final() {
 		return false, false
 	}
-	x.take(x.trial.Step(now, view), view, now)
+	x.applyStep(x.trial.Step(now, view), view, now)
 	return false, x.record.State.Final()
 }
 
-// take goes by a step. The lock is held.
-func (x *run) take(step Step, view View, now time.Time) {
+// applyStep applies a step. The lock is held.
+func (x *run) applyStep(step Step, view View, now time.Time) {
 	if step.State != x.step.State || step.Phase != x.step.Phase || step.Share != x.step.Share {
 		n := x.trial.Count(now)
-		x.o.Log.Info("roll-out decided", "service", x.record.Service, "to", x.record.To, "state", step.State, "phase", step.Phase, "share", step.Share, "reason", step.Reason,
+		x.o.Log.Info("roll-out step changed", "service", x.record.Service, "to", x.record.To, "state", step.State, "phase", step.Phase, "share", step.Share, "reason", step.Reason,
 			"sent", n.Sent, "sent_new", n.SentNew, "per_second", n.PerSecond, "new_targets", view.Targets.New, "warm", view.Targets.Warm, "old_targets", view.Targets.Old, "nodes", n.Nodes, "of", view.Nodes)
 	}
 	x.step = step
 	if !step.State.Final() {
 		if x.saved {
-			x.tell(Answer{State: Running, Share: step.Share})
+			x.publish(Answer{State: Running, Share: step.Share})
 		}
 		return
 	}
 	x.record.State, x.record.Reason, x.saved = step.State, step.Reason, false
 	if step.State == RolledBack {
-		// Nobody waits for the store with this.
-		x.tell(Answer{State: Running})
+		// The share is withdrawn before the store has the record.
+		x.publish(Answer{State: Running})
 	}
 }
 
-// tell gives all nodes an answer. The lock is held.
-func (x *run) tell(a Answer) {
+// publish sets the answer and sends it to the nodes whose reports are held. The lock is held.
+func (x *run) publish(a Answer) {
 	if a == x.answer {
 		return
 	}
@@ -257,7 +265,7 @@
 	x.changed = make(chan struct{})
 }
 
-// Status is what the owner of an order knows of it.
+// Status describes an order at its owner.
 type Status struct {
 	Record
 	Share         float64
--- a/internal/rollout/owner_test.go
+++ b/internal/rollout/owner_test.go
@@ -12,21 +12,21 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// countingBook keeps whatever is written.
-type countingBook struct{ final atomic.Int64 }
+// countingStore accepts every record and counts the final ones.
+type countingStore struct{ final atomic.Int64 }
 
-func (b *countingBook) Save(_ context.Context, r Record) (Record, error) {
+func (b *countingStore) Save(_ context.Context, r Record) (Record, error) {
 	if r.State.Final() {
 		b.final.Add(1)
 	}
 	return r, nil
 }
 
-// An owner whose host stood still decides by nothing that it knew before.
+// After its host was suspended an owner makes no decision from the reports of before.
 func TestOwnerThatStoodStillDecidesNothing(t *testing.T) {
-	for _, stoodStill := range []bool{false, true} {
+	for _, suspended := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			book := &countingBook{}
+			book := &countingStore{}
 			w := &Owner{
 				Book: book, Targets: func(string, string) Targets { return Targets{} }, Withdrawn: func(Order) bool { return false },
 				Nodes: func() int { return 1 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
@@ -34,17 +34,17 @@
 			o := Order{Service: "s", To: "v2", Lasts: 5 * time.Second}
 			_, err := w.Report(t.Context(), Report{Node: "a", Order: o, Hold: time.Second})
 			qt.Assert(t, err, qt.IsNil)
-			if stoodStill {
+			if suspended {
 				w.Lapse()
 			}
 			for range 20 {
 				time.Sleep(500 * time.Millisecond)
-				if !stoodStill {
+				if !suspended {
 					_, err := w.Report(t.Context(), Report{Node: "a", Order: o, Hold: time.Second})
 					qt.Assert(t, err, qt.IsNil)
 				}
 			}
-			qt.Assert(t, book.final.Load() == 0, qt.Equals, stoodStill)
+			qt.Assert(t, book.final.Load() == 0, qt.Equals, suspended)
 			time.Sleep(time.Minute)
 		})
 	}
--- a/internal/rollout/owners_test.go
+++ b/internal/rollout/owners_test.go
@@ -14,13 +14,13 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// sharedBook keeps one record, as the store does for all owners.
-type sharedBook struct {
+// sharedStore keeps one record for all owners, as the store does.
+type sharedStore struct {
 	mu   sync.Mutex
 	kept Record
 }
 
-func (b *sharedBook) Save(_ context.Context, r Record) (Record, error) {
+func (b *sharedStore) Save(_ context.Context, r Record) (Record, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.kept.State == Unknown || !b.kept.State.Final() && r.State.Final() {
@@ -29,23 +29,24 @@
 	return b.kept, nil
 }
 
-func (b *sharedBook) state() State {
+func (b *sharedStore) state() State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.kept.State
 }
 
-// reportEach is how often nodes report in these tests.
-const reportEach = 500 * time.Millisecond
+// reportInterval is the time between two reports of a node in these tests.
+const reportInterval = 500 * time.Millisecond
 
-// fleet is some nodes that each send calls and report to an owner. Only their counts are played.
+// fleet models nodes that each send calls and report to an owner. It models only the counts of the
+// calls.
 type fleet struct {
-	book  *sharedBook
+	book  *sharedStore
 	order Order
 	nodes int
 	// perSecond is the number of calls that a node sends.
 	perSecond func(node int) float64
-	// owner returns whom a node reports to; nil for nobody.
+	// owner returns the Owner that a node reports to; nil for none.
 	owner func(node int) *Owner
 
 	mu        sync.Mutex
@@ -54,7 +55,8 @@
 	restarts map[int]int
 }
 
-func (f *fleet) life(node int) int {
+// incarnation returns the number of restarts of a node.
+func (f *fleet) incarnation(node int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.restarts[node]
@@ -66,8 +68,8 @@
 	f.restarts[node]++
 }
 
-// each returns the same number of calls for all nodes.
-func each(perSecond float64) func(int) float64 { return func(int) float64 { return perSecond } }
+// uniformRate gives all nodes the same rate of calls.
+func uniformRate(perSecond float64) func(int) float64 { return func(int) float64 { return perSecond } }
 
 func (f *fleet) newOwner(ctx context.Context) *Owner {
 	w := &Owner{
@@ -80,14 +82,14 @@
 	return w
 }
 
-// run lets a node send calls, all of them answered well, and report, until the order is decided.
-// After a restart it knows nothing.
+// run lets a node send calls, all with good answers, and report until the order is decided. A
+// restart of the node loses its counts and its answer.
 func (f *fleet) run(ctx context.Context, node int, rnd *rand.Rand) {
 	var e Evidence
-	has, until, life := Answer{}, time.Time{}, -1
+	has, until, incarnation := Answer{}, time.Time{}, -1
 	for ctx.Err() == nil && !has.State.Final() {
-		if now := f.life(node); now != life {
-			life = now
+		if now := f.incarnation(node); now != incarnation {
+			incarnation = now
 			e = Evidence{Tallies: make(map[Source]Tally)}
 			has, until = Answer{}, time.Time{}
 		}
@@ -95,7 +97,7 @@
 		if time.Now().After(until) {
 			share = 0
 		}
-		for range int(f.perSecond(node) * reportEach.Seconds()) {
+		for range int(f.perSecond(node) * reportInterval.Seconds()) {
 			source := Source{Route: "a"}
 			if rnd.Float64() < share {
 				source = Source{Route: "a", New: true, Target: fmt.Sprint("t", rnd.IntN(4))}
@@ -108,12 +110,12 @@
 			f.count(source.New)
 		}
 		if w := f.owner(node); w != nil {
-			a, err := w.Report(ctx, Report{Node: fmt.Sprint("n", node), Order: f.order, Evidence: e.Clone(), Has: has, Hold: leastHold})
+			a, err := w.Report(ctx, Report{Node: fmt.Sprint("n", node), Order: f.order, Evidence: e.Clone(), Has: has, Hold: minHold})
 			if err == nil {
-				has, until = a, time.Now().Add(LeaseOf(leastHold))
+				has, until = a, time.Now().Add(LeaseOf(minHold))
 			}
 		}
-		time.Sleep(reportEach)
+		time.Sleep(reportInterval)
 	}
 }
 
@@ -126,15 +128,16 @@
 	}
 }
 
-// exposure is what the version got, as a part of what it may get while it is not known.
+// exposure returns the calls of the new version, as a part of those that its bounds allow during the
+// trial.
 func (f *fleet) exposure() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.new / (0.1*f.sent + 50)
 }
 
-// play runs a fleet for the order's time.
-func (f *fleet) play(t *testing.T, seed uint64, during func(ctx context.Context)) {
+// runFor runs the nodes until during returns.
+func (f *fleet) runFor(t *testing.T, seed uint64, during func(ctx context.Context)) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	for node := range f.nodes {
@@ -146,15 +149,15 @@
 	time.Sleep(time.Minute)
 }
 
-// TestOwnerThatNobodyReportsToDecidesNothing guards against a good version that is rolled back for
-// too few answers by a node that all others have left.
+// TestOwnerThatNobodyReportsToDecidesNothing guards against an owner that no node reports to any more
+// and that rolls back a good version for too few answers.
 func TestOwnerThatNobodyReportsToDecidesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		f := &fleet{book: &sharedBook{}, nodes: 5}
+		f := &fleet{book: &sharedStore{}, nodes: 5}
 		w := f.newOwner(ctx)
-		_, err := w.Report(ctx, Report{Node: "a", Order: Order{Service: "s", To: "v2", Lasts: 15 * time.Second}, Hold: leastHold})
+		_, err := w.Report(ctx, Report{Node: "a", Order: Order{Service: "s", To: "v2", Lasts: 15 * time.Second}, Hold: minHold})
 		qt.Assert(t, err, qt.IsNil)
 		time.Sleep(20 * time.Second)
 		qt.Assert(t, f.book.state(), qt.Equals, Running)
@@ -162,13 +165,13 @@
 	})
 }
 
-// TestOwnerOfFewNodesLeavesTheDecisionToThatOfMost guards against the same where one node goes on
-// reporting to another owner than the others.
+// TestOwnerOfFewNodesLeavesTheDecisionToThatOfMost guards against the same fault in an owner that only
+// one node reports to, while the other nodes report to another owner.
 func TestOwnerOfFewNodesLeavesTheDecisionToThatOfMost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		f := &fleet{book: &sharedBook{}, nodes: 5, order: Order{Service: "s", To: "v2", Lasts: 25 * time.Second}}
+		f := &fleet{book: &sharedStore{}, nodes: 5, order: Order{Service: "s", To: "v2", Lasts: 25 * time.Second}}
 		f.perSecond = func(node int) float64 { return float64(10 * min(node, 1)) }
 		few, most := f.newOwner(ctx), f.newOwner(ctx)
 		f.owner = func(node int) *Owner {
@@ -177,26 +180,28 @@
 			}
 			return most
 		}
-		f.play(t, 1, func(context.Context) { time.Sleep(f.order.Lasts) })
+		f.runFor(t, 1, func(context.Context) { time.Sleep(f.order.Lasts) })
 		qt.Assert(t, f.book.state(), qt.Equals, Completed)
 	})
 }
 
-// TestOrderIsDecidedInTimeWhereNoOwnerHearsOfMostNodes: a fleet in pieces still ends its orders.
+// TestOrderIsDecidedInTimeWhereNoOwnerHearsOfMostNodes: an order is decided by its deadline also if
+// no owner receives reports from most of the nodes.
 func TestOrderIsDecidedInTimeWhereNoOwnerHearsOfMostNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		f := &fleet{book: &sharedBook{}, nodes: 5, perSecond: each(2), order: Order{Service: "s", To: "v2", Lasts: 25 * time.Second}}
+		f := &fleet{book: &sharedStore{}, nodes: 5, perSecond: uniformRate(2), order: Order{Service: "s", To: "v2", Lasts: 25 * time.Second}}
 		owners := []*Owner{f.newOwner(ctx), f.newOwner(ctx), f.newOwner(ctx)}
 		f.owner = func(node int) *Owner { return owners[node%3] }
-		f.play(t, 1, func(context.Context) { time.Sleep(f.order.Lasts) })
+		f.runFor(t, 1, func(context.Context) { time.Sleep(f.order.Lasts) })
 		qt.Assert(t, f.book.state().Final(), qt.IsTrue)
 	})
 }
 
-// TestVersionKeepsToItsBoundWhileOwnersChange guards against owners that begin late, or beside
-// others, and give a version more than it may get. It turns bad later, and nothing is known of it yet.
+// TestVersionKeepsToItsBoundWhileOwnersChange guards against owners that start late, or at the same
+// time as others, and send the new version more calls than its bounds allow. Nodes and owners restart
+// at random during the trial.
 func TestVersionKeepsToItsBoundWhileOwnersChange(t *testing.T) {
 	for seed := range uint64(30) {
 		perSecond := []float64{4, 30, 120}[seed%3]
@@ -204,7 +209,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			rnd := rand.New(rand.NewPCG(seed, 7))
-			f := &fleet{book: &sharedBook{}, nodes: 5, perSecond: each(perSecond), restarts: make(map[int]int), order: Order{Service: "s", To: "v2", Lasts: 25 * time.Second}}
+			f := &fleet{book: &sharedStore{}, nodes: 5, perSecond: uniformRate(perSecond), restarts: make(map[int]int), order: Order{Service: "s", To: "v2", Lasts: 25 * time.Second}}
 			var mu sync.Mutex
 			owners := []*Owner{f.newOwner(ctx), f.newOwner(ctx), f.newOwner(ctx)}
 			reportsTo := make([]int, f.nodes)
@@ -213,8 +218,8 @@
 				defer mu.Unlock()
 				return owners[reportsTo[node]]
 			}
-			f.play(t, seed, func(ctx context.Context) {
-				for began := time.Now(); time.Since(began) < time.Duration(tryUntil*float64(f.order.Lasts)); {
+			f.runFor(t, seed, func(ctx context.Context) {
+				for began := time.Now(); time.Since(began) < time.Duration(trialUntil*float64(f.order.Lasts)); {
 					time.Sleep(time.Duration(rnd.Int64N(int64(3 * time.Second))))
 					node := rnd.IntN(f.nodes)
 					f.restart(node)
@@ -229,13 +234,13 @@
 	}
 }
 
-// TestOwnerOfANodeThatEndsDecidesNothing guards against a process that stops and goes on deciding.
+// TestOwnerOfANodeThatEndsDecidesNothing guards against an owner that decides while its process stops.
 func TestOwnerOfANodeThatEndsDecidesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleet{book: &sharedBook{}, nodes: 1}
+		f := &fleet{book: &sharedStore{}, nodes: 1}
 		w := f.newOwner(t.Context())
 		w.Close()
-		_, err := w.Report(t.Context(), Report{Node: "a", Order: Order{Service: "s", To: "v2", Lasts: time.Second}, Hold: leastHold})
+		_, err := w.Report(t.Context(), Report{Node: "a", Order: Order{Service: "s", To: "v2", Lasts: time.Second}, Hold: minHold})
 		qt.Assert(t, err, qt.ErrorIs, errClosed)
 		time.Sleep(2 * time.Second)
 		qt.Assert(t, f.book.state(), qt.Equals, Unknown)
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,8 +1,8 @@
 // Package rollout moves the traffic of a service to targets of another version. All nodes
-// together try the new version on a bounded share of the requests; one of them, the owner, sums up
-// what they saw, compares the new version with the old one on the same routes, and decides whether
-// it takes all traffic or none. Nodes act on the share that the owner last told them, and only
-// while it answers. The store arbitrates where two nodes take themselves for the owner. Source:
+// together send a bounded share of the requests to the new version. One of them, the owner, aggregates
+// the reports of the nodes, compares the new version with the old one on the same routes, and decides
+// whether it gets all traffic or none. Nodes act on the share in the owner's last answer, and only
+// while the owner answers. If two nodes act as owner, the store arbitrates. Source:
 // docs/design/021-rollouts.md.
 package rollout
 
@@ -16,19 +16,19 @@
 // Order asks that the traffic of a service be moved to targets of another version.
 type Order struct {
 	Service, To string
-	// Revision is the version of the order's row. It tells orders apart, also such as ask for
-	// the same version again.
+	// Revision is the version of the order's row. It distinguishes orders, including those for
+	// the same service and version.
 	Revision store.Version
-	// Lasts is the time in which the order is to be completed or rolled back.
+	// Lasts is the time within which the order must be completed or rolled back.
 	Lasts time.Duration
 }
 
-// State is how far an order is.
+// State is the state of an order.
 type State string
 
 // The states. Completed and RolledBack are final.
 const (
-	// Unknown is the state of an order of which nothing was heard yet.
+	// Unknown is the state of an order before the first answer of an owner.
 	Unknown    State = ""
 	Running    State = "running"
 	Completed  State = "completed"
@@ -38,16 +38,16 @@
 // Final reports whether a state does not change any more.
 func (s State) Final() bool { return s == Completed || s == RolledBack }
 
-// Record is what was decided of an order, as the store keeps it.
+// Record is the state of an order as stored.
 type Record struct {
 	Service string `json:"service"`
 	To      string `json:"to"`
-	// Revision is that of the order.
+	// Revision is the order's Revision.
 	Revision store.Version `json:"revision"`
 	State    State         `json:"state"`
-	// Reason says why, for operators.
+	// Reason explains the state to operators.
 	Reason string `json:"reason"`
-	// Began is when the order was first seen, Deadline when its time is over.
+	// Began is when the first owner received the order, Deadline when its time is over.
 	Began    time.Time `json:"began"`
 	Deadline time.Time `json:"deadline"`
 }
@@ -56,10 +56,10 @@
 type Lane struct {
 	// Only is the version of its targets; "" for any.
 	Only string
-	// Barred are versions that are not in the lane.
+	// Barred lists versions whose targets are not in the lane.
 	Barred []string
-	// Part is the part of the targets of the version that take its calls; 0 for all. A small
-	// share of the traffic on a few targets shows how the version bears a load.
+	// Part is the part of the version's targets that take its calls; 0 means all. A small share
+	// of the traffic, sent to a few targets, shows how the version performs under load.
 	Part float64
 }
 
--- a/internal/rollout/trial.go
+++ b/internal/rollout/trial.go
@@ -3,51 +3,56 @@
 import "time"
 
 const (
-	// rateTime is how long a node's calls are counted before their rate is believed.
-	rateTime = time.Second
-	// completePart is the part of the nodes whose reports make the evidence complete, doubtTimeout how
-	// long they are waited for where the version looks bad.
+	// minRateTime is how long a node's calls are counted before their rate is used.
+	minRateTime = time.Second
+	// completePart is the part of the reporting nodes whose new reports make the evidence complete.
+	// doubtTimeout is the longest wait for them if the new version looks bad.
 	completePart = 0.9
 	doubtTimeout = 2 * time.Second
-	// inFlightLife is how long a node's count of calls at the old version is believed.
-	inFlightLife = 3 * mostHold
+	// inFlightLife is how long after its last report a node's calls in flight at the old version are
+	// counted.
+	inFlightLife = 3 * maxHold
 )
 
-// Trial is what an owner knows of an order, and how it decides. It has no clock and no network.
+// Trial aggregates the reports on an order at its owner, and decides how the order proceeds. It uses no
+// clock and no network.
 type Trial struct {
 	control Controller
 	nodes   map[string]*reporter
-	// news is what came since the last step.
-	news map[Source]Tally
-	// checkpoint is the judge as it was when the evidence was complete last, pending what came since, in
-	// how many steps. It is complete again once nodes have reported after awaited.
+	// delta sums up the tallies since the last step.
+	delta map[Source]Tally
+	// checkpoint is the judge at the time when the evidence was complete last. pending sums up the
+	// tallies since, steps counts the steps since. The evidence is complete again once nodes have
+	// reported after awaited.
 	checkpoint *Judge
 	pending    map[Source]Tally
 	steps      int
 	awaited    time.Time
-	// doubted is since when the version looks bad by evidence that is not complete; zero for not.
+	// doubted is since when the new version looks bad in incomplete evidence; zero if it doesn't.
 	doubted time.Time
 }
 
-// reporter is what one node reported.
+// reporter is the state of one reporting node at the owner.
 type reporter struct {
 	evidence Evidence
-	// sent and sentNew are its calls since the order came, those of its earlier processes included.
+	// sent and sentNew count its calls since the order was received, including those of earlier
+	// processes of the node.
 	sent, sentNew uint64
 	oldInFlight   int
-	// since is when this owner first heard of it, sentBefore its calls until then.
+	// since is when this owner received its first report, sentBefore its calls until then.
 	since      time.Time
 	sentBefore uint64
-	at         time.Time
-	// until is when the node is taken to report to another owner, if it does not report before.
+	// at is when this owner received its last report.
+	at time.Time
+	// until is when its lease ends: without a new report it then counts as a node of another owner.
 	until time.Time
 }
 
-// NewTrial returns a Trial of an order that began at a time.
+// NewTrial returns the Trial of an order that began at a time.
 func NewTrial(o Order, b Bounds, began time.Time) *Trial {
 	return &Trial{
 		control: Controller{Order: o, Bounds: b, Began: began, Judge: NewJudge()},
-		nodes:   make(map[string]*reporter), news: make(map[Source]Tally),
+		nodes:   make(map[string]*reporter), delta: make(map[Source]Tally),
 		checkpoint: NewJudge(), pending: make(map[Source]Tally),
 	}
 }
@@ -59,24 +64,24 @@
 		node = &reporter{since: now, sentBefore: r.Evidence.Sent}
 		t.nodes[r.Node] = node
 	}
-	news := r.Evidence.since(node.evidence)
-	addAll(t.news, news.Tallies)
-	node.sent += news.Sent
-	node.sentNew += news.SentNew
+	delta := r.Evidence.since(node.evidence)
+	addAll(t.delta, delta.Tallies)
+	node.sent += delta.Sent
+	node.sentNew += delta.SentNew
 	node.evidence, node.oldInFlight, node.at = r.Evidence, r.OldInFlight, now
-	node.until = now.Add(LeaseOf(max(r.Hold, leastHold)))
+	node.until = now.Add(LeaseOf(max(r.Hold, minHold)))
 }
 
-// View is what a node sees of its fleet and of a service.
+// View is the state of the fleet and of a service as known at a node.
 type View struct {
-	// Nodes is how many nodes there are.
+	// Nodes is the number of nodes of the fleet.
 	Nodes   int
 	Targets Targets
-	// Withdrawn says that the order does not stand any more.
+	// Withdrawn says that the order was removed or replaced.
 	Withdrawn bool
 }
 
-// Step returns what is to be done now.
+// Step decides how the order proceeds at a time.
 func (t *Trial) Step(now time.Time, v View) Step {
 	complete := t.judge(now)
 	n := t.Count(now)
@@ -87,15 +92,16 @@
 	})
 }
 
-// judge takes in what came, and reports whether the evidence is complete now.
+// judge adds the new tallies to the judge, and reports whether the evidence is complete now.
 //
-// Nodes report bad answers of the new version at once, and all else when their report's time is over. So
-// a trouble that both versions have looks like one of the new version first. Once the evidence is
-// complete the judge goes back to its checkpoint, and takes in together what came since.
+// Nodes report bad answers of the new version at once, and all other answers when the hold of their
+// report is over. So a fault that affects both versions first looks like one of the new version. Once
+// the evidence is complete the judge is reset to its checkpoint, and all tallies since are added to it
+// at once.
 func (t *Trial) judge(now time.Time) (complete bool) {
-	t.control.Judge.Take(t.news)
-	addAll(t.pending, t.news)
-	clear(t.news)
+	t.control.Judge.Add(t.delta)
+	addAll(t.pending, t.delta)
+	clear(t.delta)
 	t.steps++
 	_, bad := t.control.Judge.Bad()
 	if bad && t.doubted.IsZero() {
@@ -105,14 +111,15 @@
 	if !t.isComplete(now) {
 		return false
 	}
-	t.checkpoint.takeTogether(t.pending, t.steps)
+	t.checkpoint.addSteps(t.pending, t.steps)
 	t.control.Judge = t.checkpoint.clone()
 	clear(t.pending)
 	t.steps, t.awaited, t.doubted = 0, now, time.Time{}
 	return true
 }
 
-// isComplete reports whether most nodes have reported since they were awaited.
+// isComplete reports whether completePart of the reporting nodes have reported since t.awaited, or
+// doubtTimeout is over.
 func (t *Trial) isComplete(now time.Time) bool {
 	if !t.doubted.IsZero() && now.Sub(t.doubted) >= doubtTimeout {
 		return true
@@ -130,7 +137,7 @@
 	return since >= completePart*all
 }
 
-// addAll adds tallies to others.
+// addAll adds tallies to those in to.
 func addAll(to, tallies map[Source]Tally) {
 	for source, tally := range tallies {
 		sum := to[source]
@@ -139,20 +146,22 @@
 	}
 }
 
-// Count sums up the nodes that report.
+// Count sums up the calls of the nodes that report to an owner.
 type Count struct {
-	// Nodes is how many there are.
+	// Nodes is the number of reporting nodes.
 	Nodes int
-	// Sent are their calls since the order came, SentNew those to the new version.
+	// Sent counts their calls since the order was received. SentNew counts those to the new
+	// version, and excess calls of nodes that report no more.
 	Sent, SentNew uint64
-	// PerSecond is the rate of their calls; 0 while it is not known.
+	// PerSecond is the rate of their calls; 0 while it is unknown.
 	PerSecond float64
-	// OldInFlight counts the calls that targets of the old version still work on.
+	// OldInFlight counts the calls in flight at targets of the old version.
 	OldInFlight int
 }
 
-// Count sums up the nodes that report at a time. Of the others the calls to the new version count
-// that their own calls do not allow: the rest counts at the owner that they report to now.
+// Count sums up the calls of the nodes that report at a time. Of the other nodes it counts only the
+// calls to the new version in excess of the share of their own calls: the owner that they report to
+// now counts the rest.
 func (t *Trial) Count(now time.Time) Count {
 	var c Count
 	var rate float64
@@ -162,13 +171,13 @@
 			c.OldInFlight += node.oldInFlight
 		}
 		if now.After(node.until) {
-			c.SentNew += node.beyond(t.control.Bounds.Share)
+			c.SentNew += node.excessNew(t.control.Bounds.Share)
 			continue
 		}
 		c.Nodes++
 		c.Sent += node.sent
 		c.SentNew += node.sentNew
-		if since := node.at.Sub(node.since); since >= rateTime {
+		if since := node.at.Sub(node.since); since >= minRateTime {
 			rate += float64(node.sent-node.sentBefore) / since.Seconds()
 			measured++
 		}
@@ -179,7 +188,7 @@
 	return c
 }
 
-// beyond returns the calls of a node to the new version that its own calls do not allow.
-func (r *reporter) beyond(share float64) uint64 {
+// excessNew returns the calls of a node to the new version in excess of a share of its own calls.
+func (r *reporter) excessNew(share float64) uint64 {
 	return uint64(max(float64(r.sentNew)-share*float64(r.sent), 0))
 }
--- a/internal/rollout/trial_test.go
+++ b/internal/rollout/trial_test.go
@@ -9,7 +9,8 @@
 
 var oneOrder = Order{Service: "s", To: "v2", Lasts: 30 * time.Second}
 
-// reportOf is a report of a node that sent calls, some of them with bad answers of either version.
+// reportOf returns the report of a node that sent a number of calls: bad of them got bad answers, from
+// the new version if isNew is set, the others got good answers from the old version.
 func reportOf(node string, calls, bad int, isNew bool) Report {
 	e := Evidence{Tallies: make(map[Source]Tally), Sent: uint64(calls)}
 	source := Source{Route: "a", New: isNew}
@@ -19,10 +20,10 @@
 	for range calls - bad {
 		e.Count(Source{Route: "a"}, false, time.Millisecond)
 	}
-	return Report{Node: node, Order: oneOrder, Evidence: e, Hold: leastHold}
+	return Report{Node: node, Order: oneOrder, Evidence: e, Hold: minHold}
 }
 
-// A node that this owner has just heard of tells what it sent before: that is no rate.
+// The first report of a node counts calls from before: they give no rate.
 func TestRateOfCallsIsNotKnownAtOnce(t *testing.T) {
 	trial := NewTrial(oneOrder, Bounds{}, start)
 	trial.Take(reportOf("a", 1000, 0, false), start)
@@ -35,8 +36,8 @@
 	qt.Check(t, trial.Count(now).PerSecond, qt.Equals, 100.0)
 }
 
-// Bad answers of the new version come first. It gets nothing, and is judged once the other nodes
-// have reported too.
+// Nodes report bad answers of the new version first. Until the other nodes have reported too, the new
+// version gets no calls and the order isn't rolled back.
 func TestVersionIsInDoubtUntilAllNodesHaveReported(t *testing.T) {
 	for _, alike := range []bool{false, true} {
 		trial := NewTrial(oneOrder, Bounds{Share: 0.1, Slack: 50}, start)
@@ -67,14 +68,14 @@
 	}
 }
 
-// A node that reports no more may report to another owner, which counts its calls. What it sent to the
-// new version beyond its own share counts here too.
+// A node that stops reporting may report to another owner, which counts its calls. Its calls to the new
+// version in excess of its own share are still counted here.
 func TestCallsBeyondTheShareOfALostNodeStayCounted(t *testing.T) {
 	trial := NewTrial(oneOrder, Bounds{Share: 0.1}, start)
 	lost := reportOf("a", 100, 0, false)
 	lost.Evidence.SentNew = 60
 	trial.Take(lost, start)
-	now := start.Add(LeaseOf(leastHold) + time.Second)
+	now := start.Add(LeaseOf(minHold) + time.Second)
 	trial.Take(reportOf("b", 100, 0, false), now)
 	n := trial.Count(now)
 	qt.Check(t, n.Nodes, qt.Equals, 1)
