--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -1,10 +1,9 @@
-// Package verdict defines what is known about whether a request ran, and the
-// error type that carries this knowledge from one attempt at a target up to
-// the caller.
+// Package verdict defines verdicts, which say whether a request ran, and the
+// error type that carries the verdict of an attempt at a target up to the
+// caller.
 //
-// The rule is conservative: NotRun is a proof that nothing was handed to a
-// target that could have started it. Without that proof the verdict is
-// MayHaveRun. Source: docs/design/001-verdicts.md.
+// Verdicts are conservative: NotRun is a proof that no target received work
+// that it could have started. Without that proof the verdict is MayHaveRun. Source: docs/design/001-verdicts.md.
 package verdict
 
 import (
@@ -19,7 +18,7 @@
 type Verdict uint8
 
 const (
-	// NotRun: no target was handed anything it could have started.
+	// NotRun: no target received work that it could have started.
 	NotRun Verdict = iota
 	// MayHaveRun: a target may have started, or finished, the work.
 	MayHaveRun
@@ -40,15 +39,15 @@
 	return fmt.Sprintf("verdict(%d)", uint8(v))
 }
 
-// Combine returns the verdict over two attempts or stages of one request: the
-// stronger evidence that something ran wins.
+// Combine returns the verdict on two attempts or stages of one request: the
+// one that is closer to Ran.
 func (v Verdict) Combine(o Verdict) Verdict {
 	return max(v, o)
 }
 
-// Refusal returns the verdict that a refused caller is told. A request that
-// did not end with an answer is never reported as Ran: a finished early stage
-// says nothing about the later ones.
+// Refusal returns the verdict that a refused caller receives. A request that
+// did not end with an answer is never reported as Ran: that an early stage
+// finished does not show that the later ones ran.
 func (v Verdict) Refusal() Verdict {
 	if v == NotRun {
 		return NotRun
@@ -57,7 +56,7 @@
 }
 
 // Code is a stable, machine-readable reason for a refusal. Callers and
-// scripts branch on it; texts may change, codes do not.
+// scripts depend on codes; texts may change, codes do not.
 type Code string
 
 // The codes of all refusals.
@@ -95,17 +94,20 @@
 	Verdict Verdict
 	// Code is the stable reason.
 	Code Code
-	// Reason is one sentence for a person, with what to mend.
+	// Reason is one sentence that explains the failure, and how to correct it,
+	// to a person.
 	Reason string
-	// RetryAfter is when a repeat has a fair chance; 0 means unknown.
+	// RetryAfter is the time after which a repeat is likely to succeed; 0
+	// means unknown.
 	RetryAfter time.Duration
-	// Stage and Target locate the failure; empty when it precedes dispatch.
+	// Stage and Target are where the failure happened; they are empty if it
+	// precedes dispatch.
 	Stage, Target string
 
 	cause error
 }
 
-// New returns an Error without a cause.
+// New returns an Error without a cause. format and args make its Reason.
 func New(v Verdict, code Code, format string, args ...any) *Error {
 	return &Error{Verdict: v, Code: code, Reason: fmt.Sprintf(format, args...)}
 }
@@ -175,8 +177,9 @@
 	return Wrap(err, MayHaveRun, Internal, "internal error")
 }
 
-// WithPrior returns err with the verdict of earlier work on the same request
-// folded in. It copies err, so that a shared error value stays as it was.
+// WithPrior returns err with its verdict combined with prior, the verdict of
+// earlier work on the same request. It copies err, so that a shared error value
+// does not change.
 func WithPrior(err error, prior Verdict) error {
 	if err == nil {
 		return nil
