--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -1,6 +1,7 @@
-// Package routes is the configuration of pass-through requests: which service
-// a caller's own HTTP message goes to, which stages run before it, and which
-// client accounts may send it. A Config is immutable and swapped whole.
+// Package routes holds the configuration of pass-through requests: which
+// service a caller's HTTP message goes to, which stages run before it, and
+// which client accounts may send it. A Config is immutable; a new configuration
+// replaces it as a whole.
 package routes
 
 import (
@@ -12,7 +13,8 @@
 	"topazmoor/internal/region"
 )
 
-// Kind says what may be repeated on a route.
+// Kind says whether requests on a route may be repeated, and the form of their
+// answers.
 type Kind uint8
 
 // The kinds of routes.
@@ -21,23 +23,23 @@
 	Idempotent Kind = iota
 	// NotIdempotent requests run at most once.
 	NotIdempotent
-	// Stream answers are series of events; they run at most once unless the
-	// route is resumable.
+	// Stream requests are answered by a series of events. They run at most once
+	// unless the route is resumable.
 	Stream
 )
 
 // Config is one version of the configuration.
 type Config struct {
-	// Version only rises.
+	// Version is the version of the configuration; it only rises.
 	Version  int64
 	Services map[string]*Service
 	Limits   Limits
 
 	byHost   map[string][]*Route
 	accounts map[string]*Account
-	// demandsKey is set when there are accounts at all.
-	demandsKey bool
-	// routeRanks is the number of priorities that routes can have.
+	// requiresKey says that requests on routes that are not public need a key.
+	requiresKey bool
+	// routeRanks is one more than the highest Priority of a route.
 	routeRanks int
 }
 
@@ -55,24 +57,25 @@
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time a request is kept, Objective the time within
-	// which the answer (of a stream, its first event) has its full value.
+	// Timeout limits how long a request is worked on. Objective is the latency
+	// objective of the answer, of a stream that of its first event.
 	Timeout, Objective time.Duration
-	// MaxGap is the longest pause between events that is still in time.
+	// MaxGap is the longest pause between two events of a stream that meets the
+	// objective.
 	MaxGap time.Duration
-	// Priority is the rank; 0 is the most urgent.
+	// Priority orders requests; 0 is the most urgent.
 	Priority int
-	// Split lists the services with their shares; usually one.
+	// Split lists the services with their weights; usually one.
 	Split []Share
-	// MaxAttempts is the most targets that one request may run at.
+	// MaxAttempts is the maximum number of targets that one request may run at.
 	MaxAttempts int
-	// Stages run before the request, in the order of their numbers.
+	// Stages run before the request. Stage.After holds indexes of this slice.
 	Stages []Stage
 	// Public routes need no key.
 	Public bool
-	// Resumable streams may go on at another target.
+	// Resumable streams may continue at another target.
 	Resumable bool
-	// Regions are those in which requests may be served.
+	// Regions are the regions in which requests may be served.
 	Regions region.Set
 }
 
@@ -85,65 +88,69 @@
 // Stage is work that must be done before a request can run.
 type Stage struct {
 	Service string
-	// After lists the stages whose results this one reads.
+	// After lists the indexes in Route.Stages of the stages whose results this
+	// one reads.
 	After []int
-	// ResultBytes is the approximate size of one result.
+	// ResultBytes is the approximate size of one result, in bytes.
 	ResultBytes int64
 }
 
 // Service is a pool of targets.
 type Service struct {
 	Name string
-	// MaxConns is how many connections a target accepts from all callers.
+	// MaxConns is the number of connections that a target accepts in total.
 	MaxConns int
-	// WarmupRate is how many calls a second a cold target bears from all nodes together; 0
-	// for no bound.
+	// WarmupRate is the number of calls per second that a cold target may get from all nodes
+	// together; 0 means no limit.
 	WarmupRate float64
-	// Batch is set for stage pools, Engine for model engines.
+	// Batch is set if the service is a stage pool, Engine if it is model engines.
 	Batch  *Batch
 	Engine *Engine
 }
 
-// Batch is what one target of a stage pool does.
+// Batch describes the capacity of one target of a stage pool.
 type Batch struct {
-	// Slots is the number of calls in progress at once, Queue of those that may
-	// wait, Items the most pieces of a call.
+	// Slots is the number of concurrent calls, Queue the number of calls that
+	// may wait, Items the maximum number of pieces in a call.
 	Slots, Queue, Items int
-	// CallTime is the time of a call whatever it holds, ItemTime that of each
+	// CallTime is the fixed time of a call, ItemTime the additional time of each
 	// piece; both are approximate.
 	CallTime, ItemTime time.Duration
-	// RoomBytes is the space for results, Keep how long a result is kept.
+	// RoomBytes is the capacity for results, in bytes. Keep is how long a result
+	// is kept.
 	RoomBytes int64
 	Keep      time.Duration
 }
 
-// Engine is what one model engine does.
+// Engine describes the capacity of one model engine.
 type Engine struct {
+	// Slots is the number of concurrent requests.
 	Slots int
-	// MemoryTokens bounds running requests and cached prompt parts together.
+	// MemoryTokens is the capacity for the tokens of running requests and of
+	// cached prompt parts together.
 	MemoryTokens int
 }
 
 // Account is a client account.
 type Account struct {
 	Name string
-	// Priority goes before that of the route; nil for none.
+	// Priority takes precedence over that of the route; nil for none.
 	Priority *int
 	// Regions are those in which the account's requests may be served.
 	Regions region.Set
 }
 
-// Key gives an account to requests that carry a credential.
+// Key assigns the requests that carry a credential to an account.
 type Key struct {
 	Credential string
 	Account    *Account
 }
 
-// New builds a Config. demandsKey says that requests on routes that are not
+// New builds a Config. requiresKey says that requests on routes that are not
 // public need a key, also when no key is left.
-func New(version int64, all []*Route, services map[string]*Service, keys []Key, demandsKey bool, limits Limits) *Config {
+func New(version int64, all []*Route, services map[string]*Service, keys []Key, requiresKey bool, limits Limits) *Config {
 	c := &Config{
-		Version: version, Services: services, Limits: limits, demandsKey: demandsKey,
+		Version: version, Services: services, Limits: limits, requiresKey: requiresKey,
 		byHost: make(map[string][]*Route), accounts: make(map[string]*Account, len(keys)),
 	}
 	for _, r := range all {
@@ -160,7 +167,7 @@
 	return c
 }
 
-// hostName drops a port and folds case.
+// hostName returns host in lower case and without its port.
 func hostName(host string) string {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
@@ -182,10 +189,9 @@
 // Account returns the account that holds a credential, or nil.
 func (c *Config) Account(credential string) *Account { return c.accounts[credential] }
 
-// Rank returns the place of a request among all others; 0 is the most urgent. The
-// account's priority goes before the route's, which decides between requests of
-// accounts with the same one. Requests without an account's priority have the route's
-// in its place.
+// Rank returns the rank of a request among all others; 0 is the most urgent. The
+// account's priority takes precedence. The route's priority decides between requests
+// of accounts with the same priority, and replaces the account's if there is none.
 func (c *Config) Rank(r *Route, a *Account) int {
 	first := r.Priority
 	if a != nil && a.Priority != nil {
@@ -194,7 +200,8 @@
 	return max(first, 0)*max(c.routeRanks, 1) + max(r.Priority, 0)
 }
 
-// Regions returns where a request may be served; a is nil without an account.
+// Regions returns the regions in which a request may be served; a is nil if the
+// request has no account.
 func (c *Config) Regions(r *Route, a *Account) region.Set {
 	if a == nil {
 		return r.Regions
@@ -203,7 +210,7 @@
 }
 
 // NeedsKey reports whether requests on a route need a credential.
-func (c *Config) NeedsKey(r *Route) bool { return c.demandsKey && !r.Public }
+func (c *Config) NeedsKey(r *Route) bool { return c.requiresKey && !r.Public }
 
 // Repeatable reports whether a request on the route may be sent again after a
 // target may have begun to work on it.
@@ -211,8 +218,8 @@
 	return r.Kind == Idempotent || (r.Kind == Stream && r.Resumable)
 }
 
-// Choose returns the service for a request; at is a number from 0 to 1 that is
-// drawn once for the request.
+// Choose returns the service for a request, by the weights of Split. at is a
+// random number from 0 to 1 that the caller draws once for the request.
 func (r *Route) Choose(at float64) string {
 	total := 0
 	for _, s := range r.Split {
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -61,13 +61,13 @@
 	c.Assert(cfg.Account(""), qt.IsNil)
 	c.Assert(cfg.NeedsKey(&Route{}), qt.IsTrue)
 	c.Assert(cfg.NeedsKey(&Route{Public: true}), qt.IsFalse)
-	// The last key was taken away: keys are demanded all the same.
+	// No key is left, but keys are still required.
 	c.Assert(New(2, nil, nil, nil, true, Limits{}).NeedsKey(&Route{}), qt.IsTrue)
 	c.Assert(New(2, nil, nil, nil, false, Limits{}).NeedsKey(&Route{}), qt.IsFalse)
 }
 
-// An account's priority replaced the route's, so that an urgent kind of request waited
-// behind the others of its account.
+// The route's priority decides between requests of one account. Otherwise urgent requests
+// would wait behind the others of their account.
 func TestRankIsTheAccountsThenTheRoutes(t *testing.T) {
 	c := qt.New(t)
 	urgent, lax := &Route{Priority: 0}, &Route{Priority: 2}
