--- a/internal/dispatch/conn.go
+++ b/internal/dispatch/conn.go
@@ -11,18 +11,19 @@
 
 var errSealed = eris.New("dispatch: connection sealed before anything was written")
 
-// conn counts what was written, so that a failed call can prove that the
-// target was handed nothing.
+// conn counts the bytes written to a connection, so that a failed call can prove
+// that the target received nothing.
 type conn struct {
 	net.Conn
 
 	mu      sync.Mutex
 	written int64
-	sealed  bool
+	// sealed says that all later writes fail.
+	sealed bool
 }
 
-// Write implements net.Conn. The bytes count as written before they are, so
-// that seal never misses a write that is under way.
+// Write implements net.Conn. It counts the bytes before it writes them, so that
+// seal never misses a write in progress.
 func (c *conn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	if c.sealed {
@@ -34,9 +35,9 @@
 	return c.Conn.Write(b)
 }
 
-// seal forbids all later writes if nothing was written since mark, and reports
-// whether it did. net/http may still be about to write a request whose caller
-// has given up, so counting alone would prove nothing.
+// seal makes all later writes fail if nothing was written since the count was
+// mark, and reports whether it did. net/http may still write a request whose
+// caller has given up, so the count alone is no proof.
 func (c *conn) seal(mark int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -50,6 +51,7 @@
 // Dial opens a connection; net.Dialer.DialContext in production.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
+// tracked returns a Dial whose connections count their bytes.
 func tracked(dial Dial) Dial {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
@@ -60,29 +62,31 @@
 	}
 }
 
-// handover records the connections that one call was given.
-type handover struct {
+// connLog records the connections that net/http assigned to one call.
+type connLog struct {
 	mu    sync.Mutex
 	conns []mark
-	lost  bool
+	// untracked says that the call was given a connection of unknown type, whose bytes
+	// are not counted.
+	untracked bool
 }
 
-// mark is how much was written to a connection when a call got it.
+// mark is a connection and the count of its bytes when a call was assigned to it.
 type mark struct {
 	conn    *conn
 	written int64
 }
 
-func (h *handover) trace(ctx context.Context) context.Context {
+func (h *connLog) trace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: h.gotConn})
 }
 
-func (h *handover) gotConn(info httptrace.GotConnInfo) {
+func (h *connLog) gotConn(info httptrace.GotConnInfo) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	c, ok := info.Conn.(*conn)
 	if !ok {
-		h.lost = true
+		h.untracked = true
 		return
 	}
 	c.mu.Lock()
@@ -90,12 +94,12 @@
 	h.conns = append(h.conns, mark{conn: c, written: c.written})
 }
 
-// nothingWritten reports whether it is proved that no byte of the call was, or
-// ever will be, written to a target.
-func (h *handover) nothingWritten() bool {
+// nothingWritten reports whether it is proved that no byte of the call was
+// written to a target, or will be. It seals the connections of the call.
+func (h *connLog) nothingWritten() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.lost {
+	if h.untracked {
 		return false
 	}
 	for _, m := range h.conns {
--- a/internal/dispatch/conn_test.go
+++ b/internal/dispatch/conn_test.go
@@ -10,15 +10,15 @@
 	"topazmoor/internal/verdict"
 )
 
-// TestSealForbidsLaterWrites: a call that is proved not to have been written
-// must not be written afterwards by the transport, which may still hold it.
+// TestSealForbidsLaterWrites guards against a transport that still writes a call
+// after it was proved that nothing of the call was written.
 func TestSealForbidsLaterWrites(t *testing.T) {
 	c := qt.New(t)
 	client, server := net.Pipe()
 	defer client.Close()
 	defer server.Close()
 	cn := &conn{Conn: client}
-	h := &handover{conns: []mark{{conn: cn, written: 0}}}
+	h := &connLog{conns: []mark{{conn: cn, written: 0}}}
 	c.Assert(h.nothingWritten(), qt.IsTrue)
 	_, err := cn.Write([]byte("POST"))
 	c.Assert(err, qt.Equals, errSealed)
@@ -33,9 +33,9 @@
 	go func() { _, _ = server.Read(make([]byte, 1)) }()
 	_, err := cn.Write([]byte("P"))
 	c.Assert(err, qt.IsNil)
-	h := &handover{conns: []mark{{conn: cn, written: 0}}}
+	h := &connLog{conns: []mark{{conn: cn, written: 0}}}
 	c.Assert(h.nothingWritten(), qt.IsFalse)
-	unknown := &handover{lost: true}
+	unknown := &connLog{untracked: true}
 	c.Assert(unknown.nothingWritten(), qt.IsFalse)
 }
 
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,11 +1,10 @@
-// Package dispatch makes one attempt of one stage call at one target over
-// HTTP and says, by the verdict of its error, whether the target may have run
-// it.
+// Package dispatch makes one attempt at one stage call, at one target and over
+// HTTP. The verdict of its error says whether the target may have run the call.
 //
-// net/http repeats some requests by itself on a reused connection that breaks.
-// Calls made here cannot be repeated once a byte was written: their bodies
-// cannot be rewound and they never carry an Idempotency-Key header. HTTP/2 is
-// not spoken to targets. Source: docs/design/001-verdicts.md.
+// net/http retries some requests by itself if a reused connection breaks. It
+// cannot retry the calls of this package once a byte was written: their bodies
+// cannot be rewound and they never carry an Idempotency-Key header. Targets are
+// called over HTTP/1, never HTTP/2. Source: docs/design/001-verdicts.md.
 package dispatch
 
 import (
@@ -31,7 +30,7 @@
 // returns it with the answer.
 const IdentityHeader = "Topazmoor-Attempt"
 
-// RequestIDHeader carries the request's ID for the target's own logs.
+// RequestIDHeader carries the request's ID for the logs of the target.
 const RequestIDHeader = "X-Request-Id"
 
 // Identity names one attempt at one stage of one request.
@@ -41,7 +40,7 @@
 	Attempt int
 }
 
-// String returns the header form.
+// String returns the value of IdentityHeader.
 func (i Identity) String() string {
 	return fmt.Sprintf("%s/%s/%d", i.Request, i.Stage, i.Attempt)
 }
@@ -56,7 +55,7 @@
 	Body []byte
 	// RefusalStatuses are the statuses that prove that nothing was started.
 	RefusalStatuses []int
-	// Echoes says that the target returns IdentityHeader.
+	// Echoes says that the target returns IdentityHeader with its answer.
 	Echoes bool
 }
 
@@ -67,7 +66,7 @@
 	wrong    atomic.Int64
 }
 
-// New returns a Client that reads at most maxBytes of an answer.
+// New returns a Client that accepts answers of at most maxBytes.
 func New(dial Dial, maxBytes int64) *Client {
 	tr := &http.Transport{
 		DialContext:         tracked(dial),
@@ -86,11 +85,11 @@
 	}
 }
 
-// WrongAnswers returns how many answers were dropped because they belonged to
-// another attempt.
+// WrongAnswers returns the number of answers that were dropped because they
+// belonged to another attempt.
 func (c *Client) WrongAnswers() int64 { return c.wrong.Load() }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // Do makes the call and returns the JSON body of the answer.
@@ -125,10 +124,10 @@
 // opaque hides the type of a reader, so that net/http cannot rewind it.
 type opaque struct{ io.Reader }
 
-// send writes the call and checks the head of the answer. On success the
-// caller owns the body.
-func (c *Client) send(ctx context.Context, call Call) (*http.Response, *handover, error) {
-	h := &handover{}
+// send sends the call and checks the status and the headers of the answer. On
+// success the caller must close the body.
+func (c *Client) send(ctx context.Context, call Call) (*http.Response, *connLog, error) {
+	h := &connLog{}
 	url := "http://" + call.Addr + call.Path
 	req, err := http.NewRequestWithContext(h.trace(ctx), http.MethodPost, url, opaque{bytes.NewReader(call.Body)})
 	if err != nil {
@@ -144,8 +143,8 @@
 		return nil, nil, c.failure(ctx, call, h, err)
 	}
 	if err := c.checkHead(resp, call); err != nil {
-		// Not read to the end on purpose: the connection is closed, so that a
-		// target that mixed up answers cannot do so again on it.
+		// The body is not read to its end, so that net/http closes the connection:
+		// a target that mixed up answers on it cannot do so again.
 		resp.Body.Close()
 		return nil, nil, err
 	}
@@ -169,8 +168,8 @@
 		At(call.Identity.Stage, call.Target)
 }
 
-// failure turns a transport error into a verdict.
-func (c *Client) failure(ctx context.Context, call Call, h *handover, err error) error {
+// failure returns a transport error as an error with a verdict.
+func (c *Client) failure(ctx context.Context, call Call, h *connLog, err error) error {
 	v := verdict.MayHaveRun
 	if h.nothingWritten() {
 		v = verdict.NotRun
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -28,9 +28,9 @@
 	return fmt.Sprintf("HTTP/1.1 %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", status, dispatch.IdentityHeader, id, len(body), body)
 }
 
-// rawTarget accepts connections and hands each request to serve together with
-// its number on the connection; serve writes what it likes and returns false to
-// close.
+// rawTarget accepts connections and calls serve for each request, with its number
+// on the connection. serve writes any bytes as the answer and returns false to close
+// the connection.
 func rawTarget(t *testing.T, n *memnet.Network, serve func(c net.Conn, req *http.Request, number int) bool) *atomic.Int64 {
 	t.Helper()
 	ln, err := n.Listen(targetAddr)
@@ -73,7 +73,7 @@
 	}
 }
 
-// TestVerdictOfEachEnd brings about each way in which a call can end.
+// TestVerdictOfEachEnd checks the verdict of each way in which a call can end.
 func TestVerdictOfEachEnd(t *testing.T) {
 	id := newCall().Identity.String()
 	tests := []struct {
@@ -188,9 +188,9 @@
 	})
 }
 
-// TestReusedConnectionThatDiesIsNotReplayed brings about the case in which
-// net/http itself would send a request again: a reused connection that breaks
-// after the request was written and before an answer.
+// TestReusedConnectionThatDiesIsNotReplayed covers the case in which net/http
+// retries a request by itself: a reused connection that breaks after the request was
+// written and before an answer.
 func TestReusedConnectionThatDiesIsNotReplayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -214,9 +214,9 @@
 	})
 }
 
-// TestPlainClientWouldReplay shows that the case above is real: the same
-// exchange through a plain http.Client with a rewindable body and an
-// idempotency key runs twice.
+// TestPlainClientWouldReplay checks that net/http does retry in that case: with a
+// plain http.Client, a rewindable body and an idempotency key the second request is
+// sent twice.
 func TestPlainClientWouldReplay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -244,6 +244,8 @@
 	})
 }
 
+// streamTarget answers each request with events; "stall" stops the answer until the
+// client closes the connection.
 func streamTarget(t *testing.T, n *memnet.Network, events ...string) {
 	rawTarget(t, n, func(conn net.Conn, _ *http.Request, _ int) bool {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+dispatch.IdentityHeader+": "+newCall().Identity.String()+"\r\nConnection: close\r\n\r\n")
@@ -259,8 +261,8 @@
 
 func token(i int) string { return fmt.Sprintf(`{"choices":[{"text":"t%d","token_index":%d}]}`, i, i) }
 
-// TestStreamPassesNoGapAndNoDoubledToken checks that what reaches the caller is
-// always the next token, and that only a marked end counts as complete.
+// TestStreamPassesNoGapAndNoDoubledToken checks that the caller only receives the
+// next token in order, and that only a stream with the end mark is complete.
 func TestStreamPassesNoGapAndNoDoubledToken(t *testing.T) {
 	tests := []struct {
 		name   string
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -15,8 +15,8 @@
 
 // Token is one generated token of a stream.
 type Token struct {
-	// Index counts the tokens of the whole generation from 0, resumed parts
-	// included.
+	// Index is the token's index, from 0, in the whole generation, including the
+	// parts before a stream was resumed.
 	Index int    `json:"index"`
 	Text  string `json:"text"`
 }
@@ -37,17 +37,17 @@
 // maxEvent bounds one event of a stream, in bytes.
 const maxEvent = 1 << 20
 
-// Stall bounds the silence of a stream.
+// Stall holds the timeouts of a stream that sends no event.
 type Stall struct {
-	// First bounds the wait for the first token, Next for each later one.
+	// First limits the wait for the first event, Next the wait for each later one.
 	First, Next time.Duration
 }
 
-// Stream makes the call and hands each token to emit, starting with index
-// next. A token out of order ends the stream: a gap or a doubled token never
-// reaches emit. It returns nil only after the engine marked the end.
+// Stream makes the call and passes each token to emit, starting with index
+// next. A token out of order ends the stream: emit never gets a token after a gap
+// or a duplicate. Stream returns nil only after the end mark of the engine.
 //
-// An error of emit is returned as it is.
+// It returns an error of emit unchanged.
 func (c *Client) Stream(ctx context.Context, call Call, next int, stall Stall, emit func(Token) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -66,8 +66,8 @@
 	return stalled(ctx, c.failure(ctx, call, h, io.ErrUnexpectedEOF), call)
 }
 
-// readStream reads events until the mark of the end. It returns false when the
-// stream broke before; an error is one of the content or of emit.
+// readStream reads events until the end mark. It returns false if the stream
+// breaks off before. Its error reports invalid content or comes from emit.
 func readStream(body io.Reader, next int, alive func(), emit func(Token) error, call Call) (done bool, err error) {
 	events := bufio.NewScanner(body)
 	events.Buffer(make([]byte, 0, 4096), maxEvent)
@@ -90,8 +90,8 @@
 
 var errStalled = eris.New("dispatch: stream stalled")
 
-// stalled replaces the error of a call that the watchdog ended: it is the
-// target's failure, not the caller's cancellation.
+// stalled replaces the error of a call that the watchdog cancelled: the target
+// failed, the caller did not cancel.
 func stalled(ctx context.Context, err error, call Call) error {
 	if context.Cause(ctx) != errStalled {
 		return err
@@ -100,6 +100,7 @@
 		At(call.Identity.Stage, call.Target)
 }
 
+// emitChunk passes the tokens of one event to emit and returns the next index.
 func emitChunk(data []byte, next int, emit func(Token) error, call Call) (int, error) {
 	var ch chunk
 	if err := json.Unmarshal(data, &ch); err != nil {
