--- a/internal/suspend/suspend.go
+++ b/internal/suspend/suspend.go
@@ -1,7 +1,7 @@
-// Package suspend notices that the host stood still. While a host is suspended Go's time
-// stands with it: timers, deadlines and ages go on afterwards as if nothing had been. The
-// kernel's boot clock counts that time; how far it runs ahead of the steady clock is how long
-// the host has been suspended. Steps of the time of day move neither.
+// Package suspend detects suspensions of the host. Go's monotonic clock stops while a host is
+// suspended, so timers, deadlines and ages don't count that time. The kernel's boot clock
+// counts it: its lead over the monotonic clock is the time for which the host has been
+// suspended. Changes of the time of day affect neither clock.
 package suspend
 
 import (
@@ -15,34 +15,36 @@
 )
 
 const (
-	// least is the shortest time that counts as a suspension: the two clocks are read one
-	// after the other, and the process may be put aside in between, so that shorter ones
-	// cannot be told from it. Nothing that is believed is wrong after so short a time.
-	least = 200 * time.Millisecond
-	// checkEvery is how often a Detector looks by itself. Who is about to act on what was
-	// believed before looks at that moment.
-	checkEvery = 100 * time.Millisecond
+	// minGap is the shortest suspension that is detected. The two clocks are read one after
+	// the other and the process may be preempted in between, so shorter suspensions cannot be
+	// distinguished from preemption. State remains valid over so short a time.
+	minGap = 200 * time.Millisecond
+	// checkInterval is the interval at which Serve checks. Code that is about to act on
+	// earlier state calls Check first.
+	checkInterval = 100 * time.Millisecond
 )
 
-// Read returns how far the boot clock is ahead of the steady one.
+// Read returns the lead of the boot clock over the monotonic clock.
 type Read func() (time.Duration, error)
 
-// Detector notices suspensions of the host. It is safe for concurrent use. It implements
+// Detector detects suspensions of the host. It is safe for concurrent use. It implements
 // suture.Service.
 type Detector struct {
 	read Read
-	// woke is told how long each suspension was, once, by whoever notices it.
-	woke func(gap time.Duration)
-	// slept is the time in all suspensions so far.
-	slept atomic.Int64
+	// onResume is called once for each suspension, with its length, by the goroutine that
+	// detects it.
+	onResume func(gap time.Duration)
+	// suspended is the total length of the suspensions so far, in nanoseconds.
+	suspended atomic.Int64
 
-	mu    sync.Mutex
+	mu sync.Mutex
+	// ahead is the lead of the boot clock with which the next reading is compared.
 	ahead time.Duration
 }
 
-// New returns a Detector that calls woke after each suspension. read may be nil for the
-// kernel's clocks.
-func New(read Read, woke func(gap time.Duration)) (*Detector, error) {
+// New returns a Detector that calls onResume after each suspension. If read is nil, the Detector
+// reads the kernel's clocks.
+func New(read Read, onResume func(gap time.Duration)) (*Detector, error) {
 	if read == nil {
 		read = readKernel
 	}
@@ -50,48 +52,49 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Detector{read: read, woke: woke, ahead: ahead}, nil
+	return &Detector{read: read, onResume: onResume, ahead: ahead}, nil
 }
 
-// readKernel reads the kernel's clocks.
+// readKernel implements Read with the kernel's clocks.
 func readKernel() (time.Duration, error) {
-	var boot, steady unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady); err != nil {
-		return 0, eris.Wrap(err, "read the steady clock")
+	var boot, monotonic unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic); err != nil {
+		return 0, eris.Wrap(err, "read the monotonic clock")
 	}
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot); err != nil {
 		return 0, eris.Wrap(err, "read the boot clock")
 	}
-	return time.Duration(boot.Nano() - steady.Nano()), nil
+	return time.Duration(boot.Nano() - monotonic.Nano()), nil
 }
 
-// Slept returns for how long the host has been suspended since the Detector was made, as far
-// as it has noticed.
-func (d *Detector) Slept() time.Duration { return time.Duration(d.slept.Load()) }
+// Slept returns the total length of the detected suspensions since the Detector was created.
+func (d *Detector) Slept() time.Duration { return time.Duration(d.suspended.Load()) }
 
-// Check looks whether the host was suspended. It returns once woke has.
+// Check checks whether the host was suspended. If so, it calls onResume before it returns.
 func (d *Detector) Check() {
 	ahead, err := d.read()
 	if err != nil {
-		// It could be read at the start; the next look tells.
+		// The clocks could be read in New, so the error is ignored: the next check detects a
+		// suspension too.
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	gap := ahead - d.ahead
-	if gap < least {
-		// Readings differ by what lies between them.
+	if gap < minGap {
+		// Readings vary by the time between the reads of the two clocks. The lowest one is
+		// closest to the true lead.
 		d.ahead = min(d.ahead, ahead)
 		return
 	}
 	d.ahead = ahead
-	d.slept.Add(int64(gap))
-	d.woke(gap)
+	d.suspended.Add(int64(gap))
+	d.onResume(gap)
 }
 
 // Serve implements suture.Service.
 func (d *Detector) Serve(ctx context.Context) error {
-	tick := time.NewTicker(checkEvery)
+	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/suspend/suspend_test.go
+++ b/internal/suspend/suspend_test.go
@@ -20,7 +20,7 @@
 	d.Check()
 	c.Assert(gaps, qt.DeepEquals, []time.Duration{5 * time.Second})
 	c.Assert(d.Slept(), qt.Equals, 5*time.Second)
-	// The process was put aside between the two readings.
+	// The process was preempted between the reads of the two clocks.
 	ahead += 150 * time.Millisecond
 	d.Check()
 	ahead -= 150 * time.Millisecond
@@ -36,7 +36,7 @@
 	c := qt.New(t)
 	first, err := readKernel()
 	c.Assert(err, qt.IsNil)
-	c.Assert(first >= -least, qt.IsTrue, qt.Commentf("the boot clock is %v ahead", first))
+	c.Assert(first >= -minGap, qt.IsTrue, qt.Commentf("the boot clock is %v ahead", first))
 }
 
 func BenchmarkCheck(b *testing.B) {
