--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -1,5 +1,5 @@
-// Package mechanism names the mechanisms of pass-through serving that can be switched off
-// one by one in an experiment, to learn what each is worth. In production all are on.
+// Package mechanism names the mechanisms of pass-through serving that an experiment can
+// disable individually, to measure the effect of each. In production all are enabled.
 package mechanism
 
 import (
@@ -16,58 +16,61 @@
 
 // The mechanisms.
 const (
-	// CopyPrompts: engines copy from each other what they lack of a prompt.
+	// CopyPrompts: engines copy the parts of a prompt that they have not cached from other
+	// engines.
 	CopyPrompts Set = 1 << iota
 	// PromptAffinity: all nodes prefer the same engines for a shared part of a prompt.
 	PromptAffinity
-	// NearInputs: engines near the results that they fetch are preferred.
+	// NearInputs: engines near the stage results that they fetch are preferred.
 	NearInputs
-	// MakerPlace: results are made in the data centre where they are read, or what they
-	// are made of lies.
+	// MakerPlace: stage results are produced in the data centre where they are read, or
+	// where their inputs are.
 	MakerPlace
-	// WaitForPlace: orders wait for a while for a target in that data centre.
+	// WaitForPlace: stage orders wait for a limited time for a target in that data centre.
 	WaitForPlace
-	// LateBigResults: big results that only the engine reads are made last.
+	// LateBigResults: large results that only the engine reads are produced last.
 	LateBigResults
-	// EarlyRelease: results that were read are given up before their reader ends, where
-	// room is short.
+	// EarlyRelease: results that were read are released before their reader ends, if free
+	// capacity for results is short.
 	EarlyRelease
-	// RefuseHopeless: late requests that will not be done by their deadline are refused
-	// at once.
+	// RefuseHopeless: late requests that are not expected to finish by their deadline are
+	// refused at once.
 	RefuseHopeless
-	// GiveUpHopeless: late orders that will not be done by their deadline are ended.
+	// GiveUpHopeless: late stage orders that are not expected to finish by their deadline
+	// are ended.
 	GiveUpHopeless
-	// Ranks: urgent orders have a head start.
+	// Ranks: each level of lower priority delays the turn of a stage order in its queue by a
+	// fixed time.
 	Ranks
-	// WholeOrders: the pieces of an order go into one call.
+	// WholeOrders: all pieces of a stage order go into one call, if they fit.
 	WholeOrders
-	// SecondCall: the pieces of a call that takes too long are put into another one.
+	// SecondCall: the pieces of a call that takes too long are sent again in another call.
 	SecondCall
-	// SlowTargets: slow members of stage pools are called only now and then.
+	// SlowTargets: slow targets of stage pools are called only occasionally.
 	SlowTargets
 	// Hedges: plain requests that may be repeated go to a second target when the first
 	// is slow.
 	Hedges
-	// SilentEngines: streams that may go on elsewhere leave an engine that is silent.
+	// SilentEngines: resumable streams move to another engine if theirs sends no events.
 	SilentEngines
-	// Relays: nodes follow the store through one of their data centre.
+	// Relays: nodes follow the store through one node of their data centre.
 	Relays
 )
 
-// names has the mechanisms in the order of their bits.
+// names lists the mechanisms in the order of their bits.
 var names = []string{
 	"copy-prompts", "prompt-affinity", "near-inputs", "maker-place", "wait-for-place",
 	"late-big-results", "early-release", "refuse-hopeless", "give-up-hopeless", "ranks",
 	"whole-orders", "second-call", "slow-targets", "hedges", "silent-engines", "relays",
 }
 
-// Names lists all mechanisms.
+// Names returns the names of all mechanisms.
 func Names() []string { return slices.Clone(names) }
 
-// Has reports whether the set holds a mechanism.
+// Has reports whether the set contains a mechanism.
 func (s Set) Has(m Set) bool { return s&m != 0 }
 
-// String lists the names of the set, separated by commas.
+// String returns the names of the set's mechanisms, separated by commas.
 func (s Set) String() string {
 	var out []string
 	for rest := s; rest != 0; rest &= rest - 1 {
