--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -149,7 +149,7 @@
 }
 
 // Lapse expires all shares until the owner answers a new report. It is called after the host was
-// suspended, since the clock of the process stood still then.
+// suspended, since the clock of the process did not advance meanwhile.
 func (g *Gate) Lapse() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/rollout/owner_test.go
+++ b/internal/rollout/owner_test.go
@@ -26,9 +26,9 @@
 func TestOwnerThatStoodStillDecidesNothing(t *testing.T) {
 	for _, suspended := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			book := &countingStore{}
+			store := &countingStore{}
 			w := &Owner{
-				Book: book, Targets: func(string, string) Targets { return Targets{} }, Withdrawn: func(Order) bool { return false },
+				Book: store, Targets: func(string, string) Targets { return Targets{} }, Withdrawn: func(Order) bool { return false },
 				Nodes: func() int { return 1 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 			}
 			o := Order{Service: "s", To: "v2", Lasts: 5 * time.Second}
@@ -44,7 +44,7 @@
 					qt.Assert(t, err, qt.IsNil)
 				}
 			}
-			qt.Assert(t, book.final.Load() == 0, qt.Equals, suspended)
+			qt.Assert(t, store.final.Load() == 0, qt.Equals, suspended)
 			time.Sleep(time.Minute)
 		})
 	}
--- a/internal/rollout/owners_test.go
+++ b/internal/rollout/owners_test.go
@@ -41,7 +41,7 @@
 // fleet models nodes that each send calls and report to an owner. It models only the counts of the
 // calls.
 type fleet struct {
-	book  *sharedStore
+	store *sharedStore
 	order Order
 	nodes int
 	// perSecond is the number of calls that a node sends.
@@ -73,7 +73,7 @@
 
 func (f *fleet) newOwner(ctx context.Context) *Owner {
 	w := &Owner{
-		Bounds: Bounds{Share: 0.1, Slack: 50}, Book: f.book, Nodes: func() int { return f.nodes },
+		Bounds: Bounds{Share: 0.1, Slack: 50}, Book: f.store, Nodes: func() int { return f.nodes },
 		Targets:   func(string, string) Targets { return Targets{New: 4, Warm: 4, Old: 4} },
 		Withdrawn: func(Order) bool { return false },
 		Log:       slog.New(slog.NewTextHandler(io.Discard, nil)),
@@ -155,12 +155,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		f := &fleet{book: &sharedStore{}, nodes: 5}
+		f := &fleet{store: &sharedStore{}, nodes: 5}
 		w := f.newOwner(ctx)
 		_, err := w.Report(ctx, Report{Node: "a", Order: Order{Service: "s", To: "v2", Lasts: 15 * time.Second}, Hold: minHold})
 		qt.Assert(t, err, qt.IsNil)
 		time.Sleep(20 * time.Second)
-		qt.Assert(t, f.book.state(), qt.Equals, Running)
+		qt.Assert(t, f.store.state(), qt.Equals, Running)
 		qt.Assert(t, w.Orders(), qt.HasLen, 0)
 	})
 }
@@ -171,7 +171,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		f := &fleet{book: &sharedStore{}, nodes: 5, order: Order{Service: "s", To: "v2", Lasts: 25 * time.Second}}
+		f := &fleet{store: &sharedStore{}, nodes: 5, order: Order{Service: "s", To: "v2", Lasts: 25 * time.Second}}
 		f.perSecond = func(node int) float64 { return float64(10 * min(node, 1)) }
 		few, most := f.newOwner(ctx), f.newOwner(ctx)
 		f.owner = func(node int) *Owner {
@@ -181,7 +181,7 @@
 			return most
 		}
 		f.runFor(t, 1, func(context.Context) { time.Sleep(f.order.Lasts) })
-		qt.Assert(t, f.book.state(), qt.Equals, Completed)
+		qt.Assert(t, f.store.state(), qt.Equals, Completed)
 	})
 }
 
@@ -191,11 +191,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		f := &fleet{book: &sharedStore{}, nodes: 5, perSecond: uniformRate(2), order: Order{Service: "s", To: "v2", Lasts: 25 * time.Second}}
+		f := &fleet{store: &sharedStore{}, nodes: 5, perSecond: uniformRate(2), order: Order{Service: "s", To: "v2", Lasts: 25 * time.Second}}
 		owners := []*Owner{f.newOwner(ctx), f.newOwner(ctx), f.newOwner(ctx)}
 		f.owner = func(node int) *Owner { return owners[node%3] }
 		f.runFor(t, 1, func(context.Context) { time.Sleep(f.order.Lasts) })
-		qt.Assert(t, f.book.state().Final(), qt.IsTrue)
+		qt.Assert(t, f.store.state().Final(), qt.IsTrue)
 	})
 }
 
@@ -209,7 +209,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			rnd := rand.New(rand.NewPCG(seed, 7))
-			f := &fleet{book: &sharedStore{}, nodes: 5, perSecond: uniformRate(perSecond), restarts: make(map[int]int), order: Order{Service: "s", To: "v2", Lasts: 25 * time.Second}}
+			f := &fleet{store: &sharedStore{}, nodes: 5, perSecond: uniformRate(perSecond), restarts: make(map[int]int), order: Order{Service: "s", To: "v2", Lasts: 25 * time.Second}}
 			var mu sync.Mutex
 			owners := []*Owner{f.newOwner(ctx), f.newOwner(ctx), f.newOwner(ctx)}
 			reportsTo := make([]int, f.nodes)
@@ -237,12 +237,12 @@
 // TestOwnerOfANodeThatEndsDecidesNothing guards against an owner that decides while its process stops.
 func TestOwnerOfANodeThatEndsDecidesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleet{book: &sharedStore{}, nodes: 1}
+		f := &fleet{store: &sharedStore{}, nodes: 1}
 		w := f.newOwner(t.Context())
 		w.Close()
 		_, err := w.Report(t.Context(), Report{Node: "a", Order: Order{Service: "s", To: "v2", Lasts: time.Second}, Hold: minHold})
 		qt.Assert(t, err, qt.ErrorIs, errClosed)
 		time.Sleep(2 * time.Second)
-		qt.Assert(t, f.book.state(), qt.Equals, Unknown)
+		qt.Assert(t, f.store.state(), qt.Equals, Unknown)
 	})
 }
