--- a/internal/readiness/notice.go
+++ b/internal/readiness/notice.go
@@ -1,13 +1,15 @@
-// Package readiness keeps whether a target takes work, by what the target itself says with its
-// answers. What it says is newer than any list of targets, and holds for its process only.
+// Package readiness tracks whether a target takes work, by what the target reports with its
+// answers. Such a report is newer than any list of targets, and applies to the target's current
+// process only.
 package readiness
 
 import "time"
 
-// Notice is what a target says of itself with an answer. The zero value says nothing.
+// Notice is what a target reports about its readiness with an answer. The zero value reports
+// nothing.
 type Notice struct {
-	// Leaving says that the target takes no new work any more; its process ends soon.
+	// Leaving is set if the target takes no new work any more; its process ends soon.
 	Leaving bool
-	// Rest is for how long the target wants no work from this node; 0 for none asked.
+	// Rest is for how long the target asks this node to send it no work; 0 if it does not ask.
 	Rest time.Duration
 }
--- a/internal/readiness/parse.go
+++ b/internal/readiness/parse.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// ParseRest reads the values of a Retry-After header, with that of the Date header beside it: the
-// longest time that has a meaning, 0 for none. Source: RFC 9110, sections 10.2.3 and 6.6.1;
-// fractions of seconds are taken too.
+// ParseRest parses the values of a Retry-After header; date is the value of the Date header of the
+// same answer. It returns the longest valid time, at most Longest, and 0 if there is none. Source:
+// RFC 9110, sections 10.2.3 and 6.6.1; fractions of seconds are accepted too.
 func ParseRest(values []string, date string, now time.Time) time.Duration {
 	var rest time.Duration
 	for _, v := range values {
@@ -30,7 +30,7 @@
 	if err != nil {
 		return 0
 	}
-	// The sender's own clock says how far its date lies ahead.
+	// Compare with the sender's clock, which may differ from this node's.
 	if sent, err := http.ParseTime(date); err == nil {
 		now = sent
 	}
--- a/internal/readiness/state.go
+++ b/internal/readiness/state.go
@@ -7,14 +7,15 @@
 
 // The standings, the best first.
 const (
-	// Open: nothing that the target said speaks against it.
+	// Open: the target has reported nothing that prevents calls.
 	Open Standing = iota
-	// OnTrial: its rest is over; one call may be made, and no other one until that was taken.
+	// OnTrial: its rest, or the time in which it was avoided, is over; the next call is the
+	// trial call.
 	OnTrial
-	// Avoided: it turned a call away without a time, or the trial after that is under way; it is
-	// called only where no other target is.
+	// Avoided: it rejected a call without asking for rest, or the trial call after that is in
+	// progress; it is called only if there is no other target.
 	Avoided
-	// Resting: it asked for rest, or its trial is under way.
+	// Resting: it asked for rest, or the trial call after its rest is in progress.
 	Resting
 	// Leaving: it takes no new work any more.
 	Leaving
@@ -26,36 +27,39 @@
 }
 
 const (
-	// firstAvoid is how long a target is avoided that turned a call away without a time: about
-	// a call of another caller, as it may be merely full. It doubles with each trial that is
-	// turned away too, up to maxAvoid: a target that turns everything away has nothing to do,
-	// and would be chosen first for that.
-	firstAvoid = 250 * time.Millisecond
-	maxAvoid   = 2 * time.Second
-	// trialLife is when a trial of which nothing was heard is over.
-	trialLife = 3 * time.Second
+	// initialAvoidTime is how long a target is avoided that rejected a call without asking for
+	// rest: about the time of another caller's call, as the target may only be at capacity. The
+	// time doubles with each trial call that is rejected too, up to maxAvoidTime: a target that
+	// rejects every call has no load, and would be preferred for its low load.
+	initialAvoidTime = 250 * time.Millisecond
+	maxAvoidTime     = 2 * time.Second
+	// trialTimeout is how long a trial call without an answer counts as in progress; after that,
+	// another call may be the trial call.
+	trialTimeout = 3 * time.Second
 )
 
-// Longest bounds what a target may ask for. A time of hours is a mistake more often than a wish,
-// and a target that is lost to a node is so to all its callers; but it asked, so that within this
-// time it gets nothing, and then a single call as after any rest.
+// Longest bounds the rest that a target may ask for. A time of hours is usually a mistake, and
+// makes the target unavailable to all callers of the node. For this time the request for rest is
+// respected; then the target gets a trial call, as after any rest.
 const Longest = time.Hour
 
-// State is what one process of a target said of itself. The zero value has said nothing. It
-// must not be used concurrently.
+// State is the readiness that one process of a target reported. The zero value is that of a
+// process that has reported nothing. It must not be used concurrently.
 type State struct {
 	leaving bool
 	// until is when the last rest, or the time in which the target is avoided, ends; zero once
-	// a call after it was taken. asked says that the target asked for it.
-	until time.Time
-	asked bool
-	// strikes counts the rejections without a time since a call was taken.
-	strikes int
-	// trial is when the call of the trial was begun; zero for none.
+	// the target accepted a trial call after it. restRequested is set if the target asked for
+	// that rest.
+	until         time.Time
+	restRequested bool
+	// avoidances counts the times in which the target was avoided since it last accepted a trial
+	// call.
+	avoidances int
+	// trial is when the trial call began; zero for none.
 	trial time.Time
 }
 
-// Change is what a notice changed, for logs.
+// Change is the change of a State by a notice, for logs.
 type Change uint8
 
 // The changes.
@@ -65,11 +69,11 @@
 	BeganToRest
 )
 
-// Hear takes in what the process said with an answer that came now. rejected says that the
-// answer turned the call away.
+// Hear updates the State from an answer that was received now. rejected is set if the answer
+// rejected the call.
 //
-// It is the target's own word, so that it goes before any list, which may be older, and holds
-// until its process ends: a list that has it ready is no reason to call it again.
+// A notice comes from the target itself, so it takes precedence over any list, which may be older.
+// Leaving holds until the process ends: a list that shows the target as ready does not undo it.
 func (s *State) Hear(n Notice, rejected bool, now time.Time) Change {
 	change := Unchanged
 	if n.Leaving && !s.leaving {
@@ -77,88 +81,90 @@
 		change = BeganToLeave
 	}
 	if rest := min(n.Rest, Longest); rest > 0 {
-		if !(s.asked && s.waiting(now)) && change == Unchanged {
+		if !(s.restRequested && s.paused(now)) && change == Unchanged {
 			change = BeganToRest
 		}
-		s.wait(now.Add(rest), true, now)
+		s.pause(now.Add(rest), true, now)
 		return change
 	}
-	if rejected && !s.waiting(now) {
-		s.wait(now.Add(min(firstAvoid<<min(s.strikes, maxStrikes), maxAvoid)), false, now)
-		s.strikes++
+	if rejected && !s.paused(now) {
+		s.pause(now.Add(min(initialAvoidTime<<min(s.avoidances, maxDoublings), maxAvoidTime)), false, now)
+		s.avoidances++
 	}
 	return change
 }
 
-// maxStrikes bounds the doubling.
-const maxStrikes = 8
+// maxDoublings bounds how often initialAvoidTime is doubled, so that the shift does not overflow.
+const maxDoublings = 8
 
-// wait begins a rest, or a time in which the target is avoided, which shortens no rest.
-func (s *State) wait(until time.Time, asked bool, now time.Time) {
+// pause begins a rest, or a time in which the target is avoided. It does not shorten a rest in
+// progress.
+func (s *State) pause(until time.Time, restRequested bool, now time.Time) {
 	s.trial = time.Time{}
-	if s.asked && s.waiting(now) && !until.After(s.until) {
+	if s.restRequested && s.paused(now) && !until.After(s.until) {
 		return
 	}
-	s.until, s.asked = until, asked
+	s.until, s.restRequested = until, restRequested
 }
 
-// waiting reports whether the rest goes on, or the time in which the target is avoided. A call
-// that it takes meanwhile does not end a rest: the target asked for a time, and that is what it
-// gets.
-func (s *State) waiting(now time.Time) bool { return now.Before(s.until) }
+// paused reports whether a rest, or a time in which the target is avoided, is in progress. A call
+// that the target accepts meanwhile does not end a rest: the target asked for a time, and gets all
+// of it.
+func (s *State) paused(now time.Time) bool { return now.Before(s.until) }
 
-// Standing returns whether the target may be sent work now.
+// Standing returns whether the target may get work now.
 func (s *State) Standing(now time.Time) Standing {
 	switch {
 	case s.leaving:
 		return Leaving
 	case s.until.IsZero():
 		return Open
-	case !s.waiting(now) && (s.trial.IsZero() || now.Sub(s.trial) >= trialLife):
+	case !s.paused(now) && (s.trial.IsZero() || now.Sub(s.trial) >= trialTimeout):
 		return OnTrial
-	case s.asked:
+	case s.restRequested:
 		return Resting
 	}
 	return Avoided
 }
 
-// Opens returns when a target that rests may be called again; zero for at once, and for one
-// whose trial is under way.
+// Opens returns when the rest of the target ends; zero if it does not rest, if its trial call is in
+// progress, or if it is leaving.
 func (s *State) Opens(now time.Time) time.Time {
-	if s.leaving || !s.asked || !s.waiting(now) {
+	if s.leaving || !s.restRequested || !s.paused(now) {
 		return time.Time{}
 	}
 	return s.until
 }
 
-// Begin notes that a call begins.
+// Begin records the start of a call. It is the trial call if the target is OnTrial.
 func (s *State) Begin(now time.Time) {
 	if s.Standing(now) == OnTrial {
 		s.trial = now
 	}
 }
 
-// Took notes that the target took a call that began at a moment: its rest is over if that was
-// the call of the trial. One from before the rest tells nothing.
+// Took records that the target accepted a call. The rest is over if the call began with the trial
+// call or after it; a call from before says nothing about the target's state after the rest.
 func (s *State) Took(began time.Time) {
 	if !s.trial.IsZero() && !began.Before(s.trial) {
-		s.until, s.trial, s.asked, s.strikes = time.Time{}, time.Time{}, false, 0
+		s.until, s.trial, s.restRequested, s.avoidances = time.Time{}, time.Time{}, false, 0
 	}
 }
 
-// Lost notes that a call that began at a moment ended without an answer of the target; the
-// next one may be the trial.
+// Lost records that a call ended without an answer. If it began with the trial call or after it,
+// another call may be the trial call.
 func (s *State) Lost(began time.Time) {
 	if !s.trial.IsZero() && !began.Before(s.trial) {
 		s.trial = time.Time{}
 	}
 }
 
-// Said reports whether the process has said anything that still holds.
+// Said reports whether the process has reported anything that still applies.
 func (s *State) Said() bool { return s.leaving || !s.until.IsZero() }
 
-// Admits reports whether a call that began at a moment may be sent now. It was let in by the
-// standing of that moment, which may have changed while it waited.
+// Admits reports whether a call that began at a given time may be sent now. The standing at that
+// time allowed the call, but may have changed while the call waited. While the target rests, only
+// its trial call may be sent.
 func (s *State) Admits(began, now time.Time) bool {
 	switch s.Standing(now) {
 	case Open, OnTrial, Avoided:
--- a/internal/readiness/state_test.go
+++ b/internal/readiness/state_test.go
@@ -19,7 +19,7 @@
 	c.Assert(s.Hear(Notice{Leaving: true}, false, start), qt.Equals, BeganToLeave)
 	c.Assert(s.Hear(Notice{Leaving: true}, false, start), qt.Equals, Unchanged)
 	s.Took(start)
-	// An answer to an older call may come later and say nothing.
+	// An answer to an older call may arrive later, without a notice.
 	s.Hear(Notice{}, false, start.Add(time.Second))
 	c.Assert(s.Standing(start.Add(time.Hour)), qt.Equals, Leaving)
 	c.Assert(s.Admits(start, start), qt.IsFalse)
@@ -34,7 +34,7 @@
 	c.Assert(s.Hear(Notice{Rest: 3 * time.Second}, true, now), qt.Equals, BeganToRest)
 	c.Assert(s.Opens(now), qt.Equals, now.Add(3*time.Second))
 	c.Assert(s.Admits(before, now), qt.IsFalse)
-	// A call from before the rest is answered: that tells nothing.
+	// An answer to a call from before the rest does not end the rest.
 	s.Took(before)
 	c.Assert(s.Standing(now.Add(2*time.Second)), qt.Equals, Resting)
 
@@ -61,23 +61,23 @@
 	s.Begin(trial)
 	s.Hear(Notice{}, true, trial)
 	c.Assert(s.Standing(trial), qt.Equals, Avoided)
-	again := trial.Add(firstAvoid)
+	again := trial.Add(initialAvoidTime)
 	c.Assert(s.Standing(again), qt.Equals, OnTrial)
 	s.Begin(again)
-	// Nothing is heard of it.
-	c.Assert(s.Standing(again.Add(trialLife-1)), qt.Equals, Avoided)
-	c.Assert(s.Standing(again.Add(trialLife)), qt.Equals, OnTrial)
+	// The trial call gets no answer.
+	c.Assert(s.Standing(again.Add(trialTimeout-1)), qt.Equals, Avoided)
+	c.Assert(s.Standing(again.Add(trialTimeout)), qt.Equals, OnTrial)
 }
 
-// A target that turns calls away without a time is avoided, for longer each time.
+// A target that rejects calls without asking for rest is avoided, for longer each time.
 func TestTargetThatTurnsEverythingAwayIsAvoided(t *testing.T) {
 	c := qt.New(t)
 	var s State
 	now := start
-	for _, avoided := range []time.Duration{firstAvoid, 2 * firstAvoid, 4 * firstAvoid, maxAvoid, maxAvoid} {
+	for _, avoided := range []time.Duration{initialAvoidTime, 2 * initialAvoidTime, 4 * initialAvoidTime, maxAvoidTime, maxAvoidTime} {
 		s.Begin(now)
 		c.Assert(s.Hear(Notice{}, true, now), qt.Equals, Unchanged)
-		// Others that were on their way there tell nothing new.
+		// Rejections of other calls that were in progress change nothing.
 		s.Hear(Notice{}, true, now)
 		c.Assert(s.Standing(now.Add(avoided-1)), qt.Equals, Avoided)
 		c.Assert(s.Opens(now).IsZero(), qt.IsTrue)
@@ -89,8 +89,8 @@
 	s.Took(now)
 	c.Assert(s.Standing(now), qt.Equals, Open)
 	s.Hear(Notice{}, true, now)
-	c.Assert(s.Standing(now.Add(firstAvoid)), qt.Equals, OnTrial)
-	// Who asks for rest meanwhile gets it, whole.
+	c.Assert(s.Standing(now.Add(initialAvoidTime)), qt.Equals, OnTrial)
+	// A rest that the target asks for meanwhile is not shortened.
 	s.Hear(Notice{Rest: 3 * time.Second}, true, now)
 	s.Hear(Notice{}, true, now)
 	c.Assert(s.Standing(now.Add(3*time.Second-1)), qt.Equals, Resting)
@@ -104,15 +104,15 @@
 	c.Assert(s.Standing(start.Add(Longest)), qt.Equals, OnTrial)
 }
 
-// call is one call of the oracle's node.
+// call is one call of TestOracleRests.
 type call struct {
 	began, sent time.Time
 }
 
-// TestOracleRests drives a State by calls that wait before they are sent, are turned away, taken
-// or lost in any order. However they come, no more than two are sent in any rest after the first
-// half second, none once the target said that it leaves, and a target that asks for nothing more
-// is called again.
+// TestOracleRests drives a State with calls that wait before they are sent, and are rejected,
+// accepted or lost, in any order. In any order, at most two calls are sent in a rest after its first
+// half second, none is sent after the target reported that it leaves, and a target that asks for no
+// further rest is called again.
 func TestOracleRests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s State
@@ -147,7 +147,7 @@
 						continue
 					}
 					if !left.IsZero() {
-						t.Fatalf("sent %v after the target said that it leaves", now.Sub(left))
+						t.Fatalf("call sent %v after the target reported that it leaves", now.Sub(left))
 					}
 					c.sent = now
 					sends = append(sends, now)
@@ -189,8 +189,8 @@
 				t.Fatalf("%d calls in a rest", in)
 			}
 		}
-		if left.IsZero() && s.Standing(now.Add(Longest+trialLife)) == Resting {
-			t.Fatalf("rests for ever")
+		if left.IsZero() && s.Standing(now.Add(Longest+trialTimeout)) == Resting {
+			t.Fatalf("the target still rests after the longest rest and trial")
 		}
 	})
 }
