--- a/internal/region/region.go
+++ b/internal/region/region.go
@@ -1,5 +1,5 @@
-// Package region says where a request may be served: a set of regions, and which data centre
-// lies in which region.
+// Package region defines where a request may be served: sets of regions, and the region of each
+// data centre.
 package region
 
 import (
@@ -7,46 +7,47 @@
 	"strings"
 )
 
-// Set is a set of regions; the zero Set has all of them. It is immutable.
+// Set is an immutable set of regions. The zero Set contains all regions.
 type Set struct {
-	limited bool
-	names   []string
+	restricted bool
+	names      []string
 }
 
-// Only returns the set of the named regions; without a name it is empty.
+// Only returns the set of the named regions. Without names the set is empty.
 func Only(names ...string) Set {
 	sorted := slices.Clone(names)
 	slices.Sort(sorted)
-	return Set{limited: true, names: slices.Compact(sorted)}
+	return Set{restricted: true, names: slices.Compact(sorted)}
 }
 
 // All reports whether every region is in the set.
-func (s Set) All() bool { return !s.limited }
+func (s Set) All() bool { return !s.restricted }
 
 // Empty reports whether no region is in the set.
-func (s Set) Empty() bool { return s.limited && len(s.names) == 0 }
+func (s Set) Empty() bool { return s.restricted && len(s.names) == 0 }
 
-// Has reports whether a region is in the set. The region of a place that is not known, "", is in
-// the set of all regions only.
+// Has reports whether a region is in the set. "", the region of a data centre whose region is not
+// known, is only in the set of all regions.
 func (s Set) Has(name string) bool {
-	return !s.limited || name != "" && slices.Contains(s.names, name)
+	return !s.restricted || name != "" && slices.Contains(s.names, name)
 }
 
-// And returns the regions that are in both sets.
+// And returns the intersection of the sets.
 func (s Set) And(o Set) Set {
 	switch {
-	case !s.limited:
+	case !s.restricted:
 		return o
-	case !o.limited:
+	case !o.restricted:
 		return s
 	}
 	return Only(slices.DeleteFunc(slices.Clone(s.names), func(name string) bool { return !o.Has(name) })...)
 }
 
-// Names lists the regions of a limited set.
+// Names returns the sorted names of the regions in the set; none for the set of all regions.
 func (s Set) Names() []string { return slices.Clone(s.names) }
 
-// String names the set; "" for all regions. Equal sets have the same name.
+// String returns the names of the regions, separated by commas, "none" for the empty set and "" for
+// the set of all regions. Equal sets have equal strings.
 func (s Set) String() string {
 	if s.Empty() {
 		return "none"
@@ -54,13 +55,14 @@
 	return strings.Join(s.names, ",")
 }
 
-// Map tells which region each data centre lies in.
+// Map gives the region of each data centre.
 type Map map[string]string
 
-// Allows reports whether a data centre lies in a region of the set.
+// Allows reports whether a data centre is in a region of the set. A data centre that is not in the
+// Map is only allowed by the set of all regions.
 func (m Map) Allows(s Set, dataCentre string) bool { return s.All() || s.Has(m[dataCentre]) }
 
-// Unknown returns the regions of the set in which there is no data centre.
+// Unknown returns the named regions of the set in which the Map has no data centre.
 func (m Map) Unknown(s Set) []string {
 	var out []string
 	for _, name := range s.names {
