--- a/internal/promptcache/promptcache.go
+++ b/internal/promptcache/promptcache.go
@@ -1,8 +1,8 @@
-// Package promptcache remembers which engines lately read which prompts. An engine keeps
-// what it read in its memory for a while, so that a request whose prompt begins alike is
-// answered sooner there, and another engine can copy it from there in a fraction of the
-// time of reading. The memory is what one node saw itself: it may be wrong either way,
-// which costs time and nothing else.
+// Package promptcache records which engines recently read which prompts. An engine caches the
+// prompts that it reads for a while, so that it answers a request with the same beginning of a
+// prompt sooner, and another engine can copy the cached beginning in a fraction of the time that
+// reading it takes. The record covers only the calls of one node. It may list a prefix that the
+// engine no longer caches, or lack one that it does; either costs only time.
 package promptcache
 
 import (
@@ -13,11 +13,11 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 )
 
-// maxHolders is how many engines are remembered for one prefix, the last reader first.
-// The engines of a data centre share the work on popular prefixes; a copy needs one.
-const maxHolders = 6
+// maxReaders is how many engines are recorded for one prefix, the most recent readers. The engines
+// of a data centre share the calls with popular prefixes; a copy needs one engine.
+const maxReaders = 6
 
-// Part is one part of a prompt; requests share parts.
+// Part is one part of a prompt, identified by its ID. Several requests may share a part.
 type Part struct {
 	ID     uint64
 	Tokens int
@@ -25,9 +25,9 @@
 
 // Prefix is the beginning of a prompt up to the end of one of its parts.
 type Prefix struct {
-	// Hash covers the model and all parts of the prefix.
+	// Hash covers the model and the IDs of all parts of the prefix, in order.
 	Hash uint64
-	// Tokens is the length of the whole prefix.
+	// Tokens is the length of the whole prefix, in tokens.
 	Tokens int
 }
 
@@ -44,13 +44,13 @@
 	return out
 }
 
-// Memory remembers the readers of prefixes. It is safe for concurrent use.
+// Memory records the engines that read prefixes. It is safe for concurrent use.
 type Memory struct {
 	readers *lru.Cache[uint64, []string]
 }
 
-// New returns a Memory of a number of prefixes; those that were not read for the longest
-// time are forgotten first.
+// New returns a Memory for a number of prefixes, at least one. If it is full, it evicts the prefix
+// that Read and Kept have not looked up for the longest time.
 func New(prefixes int) *Memory {
 	// The only error is a size that is not positive.
 	c, err := lru.New[uint64, []string](max(prefixes, 1))
@@ -60,15 +60,15 @@
 	return &Memory{readers: c}
 }
 
-// Read notes that an engine has read a prompt.
+// Read records that an engine has read a prompt, and so all its prefixes.
 func (m *Memory) Read(engine string, prompt []Prefix) {
 	for _, p := range prompt {
 		old, _ := m.readers.Get(p.Hash)
-		// Slices that were handed out are never changed.
-		next := make([]string, 0, maxHolders)
+		// Kept may be reading the old slice, so it must not be changed.
+		next := make([]string, 0, maxReaders)
 		next = append(next, engine)
 		for _, e := range old {
-			if e != engine && len(next) < maxHolders {
+			if e != engine && len(next) < maxReaders {
 				next = append(next, e)
 			}
 		}
@@ -76,14 +76,14 @@
 	}
 }
 
-// Kept is how much of a prompt an engine presumably keeps.
+// Kept is how many tokens of a prompt an engine presumably has in its cache.
 type Kept struct {
 	Engine string
 	Tokens int
 }
 
-// Kept returns the engines that read a prefix of the prompt, those with the longest one
-// first, and of these the last reader first.
+// Kept returns the engines that read a prefix of the prompt, each with its longest one: those with
+// the longest prefix first, and for the same prefix the most recent reader first.
 func (m *Memory) Kept(prompt []Prefix) []Kept {
 	var out []Kept
 	for _, p := range slices.Backward(prompt) {
--- a/internal/promptcache/promptcache_test.go
+++ b/internal/promptcache/promptcache_test.go
@@ -16,13 +16,13 @@
 	m.Read("e2", first[:1])
 	other := Prefixes("m", []Part{{1, 10}, {2, 20}, {4, 7}})
 	c.Assert(m.Kept(other), qt.DeepEquals, []Kept{{"e1", 30}, {"e2", 10}})
-	// The same parts of another model, or in another order, are other prefixes.
+	// The same parts for another model, or in another order, are different prefixes.
 	c.Assert(m.Kept(Prefixes("n", []Part{{1, 10}})), qt.HasLen, 0)
 	c.Assert(m.Kept(Prefixes("m", []Part{{2, 20}, {1, 10}})), qt.HasLen, 0)
 }
 
-// TestOracleMemory compares the memory with one that keeps every read, within the
-// bounds that both forget by.
+// TestOracleMemory compares Memory with a plain record of every read. The record applies the bound
+// of engines for one prefix; the bound of prefixes is not reached.
 func TestOracleMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const size = 1000
@@ -50,7 +50,7 @@
 			tokens += parts[i].Tokens
 			seen := make(map[string]bool)
 			all := reads[key(parts[:i+1])]
-			for j := len(all) - 1; j >= 0 && len(seen) < maxHolders; j-- {
+			for j := len(all) - 1; j >= 0 && len(seen) < maxReaders; j-- {
 				seen[all[j]] = true
 			}
 			for e := range seen {
