--- a/internal/region/region.go
+++ b/internal/region/region.go
@@ -62,8 +62,8 @@
 // Map is only allowed by the set of all regions.
 func (m Map) Allows(s Set, dataCentre string) bool { return s.All() || s.Has(m[dataCentre]) }
 
-// Unknown returns the named regions of the set in which the Map has no data centre.
-func (m Map) Unknown(s Set) []string {
+// Missing returns the named regions of the set in which the Map has no data centre.
+func (m Map) Missing(s Set) []string {
 	var out []string
 	for _, name := range s.names {
 		if !slices.ContainsFunc(m.regions(), func(known string) bool { return known == name }) {
--- a/internal/region/region_test.go
+++ b/internal/region/region_test.go
@@ -30,5 +30,5 @@
 	c.Assert(m.Allows(region.Only("north"), "s1"), qt.IsFalse)
 	c.Assert(m.Allows(region.Only("north"), "x1"), qt.IsFalse)
 	c.Assert(m.Allows(region.Set{}, "x1"), qt.IsTrue)
-	c.Assert(m.Unknown(region.Only("north", "west")), qt.DeepEquals, []string{"west"})
+	c.Assert(m.Missing(region.Only("north", "west")), qt.DeepEquals, []string{"west"})
 }
