--- a/internal/stagebatch/bench_test.go
+++ b/internal/stagebatch/bench_test.go
@@ -9,16 +9,17 @@
 	"topazmoor/internal/targets"
 )
 
-// idlePool is a pool whose calls never end, so that what is measured is the choice.
-type idlePool struct{ instant }
+// blockedWorker is a worker whose calls end only with their context, so that benchmarks measure
+// only the former.
+type blockedWorker struct{ fixedTimeWorker }
 
-func (idlePool) Run(ctx context.Context, _ targets.Target, _ []Item, _ func() bool) (Reply, error) {
+func (blockedWorker) Run(ctx context.Context, _ targets.Target, _ []Item, _ func() bool) (Reply, error) {
 	<-ctx.Done()
 	return Reply{}, ctx.Err()
 }
 
-// BenchmarkTake forms one batch of a queue with an order of six pieces for each target,
-// and puts its pieces back.
+// BenchmarkTake forms one batch from a queue that holds an order of six pieces for each target,
+// and puts the pieces back.
 func BenchmarkTake(b *testing.B) {
 	for _, n := range []int{12, 100, 670} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -26,13 +27,13 @@
 			now := time.Now()
 			var queue []*piece
 			for i := range n {
-				o := &order{Order: orderOf(6), seq: uint64(i), since: now}
+				o := &order{Order: orderOf(6), seq: uint64(i), queuedAt: now}
 				o.Priority, o.Due = i%6, now.Add(time.Duration(1000+i*37%1000)*time.Millisecond)
 				for p := range 6 {
 					queue = append(queue, &piece{order: o, index: p, queued: true})
 				}
 			}
-			pl := place{dataCentre: "dc", working: map[string]bool{"dc": true}}
+			pl := placement{dataCentre: "dc", working: map[string]bool{"dc": true}}
 			b.ReportAllocs()
 			for b.Loop() {
 				batch, rest := take(queue, spec, spec.RoomBytes, now, pl)
@@ -42,8 +43,7 @@
 	}
 }
 
-// BenchmarkWaits works out the waits of all ranks of a pool with as many orders as
-// targets.
+// BenchmarkWaits computes the waits of all ranks of a pool after three orders for each target.
 func BenchmarkWaits(b *testing.B) {
 	for _, n := range []int{12, 100, 670} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -53,7 +53,7 @@
 				all = append(all, targets.Target{ID: fmt.Sprint("t", i), Service: "pool", Addr: fmt.Sprint("a:", i+1), DataCentre: "dc", Slots: 1})
 			}
 			list.Update(all, time.Time{})
-			f := NewFormer(idlePool{}, list, poolSpec, quiet)
+			f := NewFormer(blockedWorker{}, list, poolSpec, discardLog)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			for i := range 3 * n {
@@ -61,9 +61,9 @@
 				o.Priority = i % 6
 				go func() { _, _ = f.Produce(ctx, o, nil) }()
 			}
-			for placed := 0; placed < 3*n; time.Sleep(time.Millisecond) {
+			for ordered := 0; ordered < 3*n; time.Sleep(time.Millisecond) {
 				f.mu.Lock()
-				placed = int(f.orders)
+				ordered = int(f.orders)
 				f.mu.Unlock()
 			}
 			spec := poolSpec("")
--- a/internal/stagebatch/burst_test.go
+++ b/internal/stagebatch/burst_test.go
@@ -16,12 +16,12 @@
 	"topazmoor/internal/targets"
 )
 
-// soundTargets are targets of a pool that take their time, have room, and never fail. It
-// implements Worker.
-type soundTargets struct{ spec *routes.Batch }
+// healthyTargets are targets of a pool that take the nominal time, have space, and never fail.
+// It implements Worker.
+type healthyTargets struct{ spec *routes.Batch }
 
 // Run implements Worker.
-func (s soundTargets) Run(_ context.Context, t targets.Target, items []Item, _ func() bool) (Reply, error) {
+func (s healthyTargets) Run(_ context.Context, t targets.Target, items []Item, _ func() bool) (Reply, error) {
 	time.Sleep(expected(s.spec, len(items)))
 	out := make([]ItemResult, len(items))
 	for i, it := range items {
@@ -31,31 +31,31 @@
 }
 
 // Free implements Worker.
-func (soundTargets) Free(context.Context, string, []string) error { return nil }
+func (healthyTargets) Free(context.Context, string, []string) error { return nil }
 
 // Room implements Worker.
-func (s soundTargets) Room(context.Context, string) (int64, error) { return s.spec.RoomBytes, nil }
+func (s healthyTargets) Room(context.Context, string) (int64, error) { return s.spec.RoomBytes, nil }
 
 // Maker implements Worker.
-func (soundTargets) Maker(handle string) string { return handle }
+func (healthyTargets) Maker(handle string) string { return handle }
 
-// kind is one kind of order of a burst.
-type kind struct {
+// orderKind is one kind of order in a burst.
+type orderKind struct {
 	rank      int
 	perSecond float64
 	deadline  time.Duration
-	// asked and inTime count its orders.
+	// asked is the number of its orders, inTime the number of those that were in time.
 	asked, inTime int
 }
 
-// share is the part of the kind's orders that were in time.
-func (k *kind) share() float64 { return float64(k.inTime) / float64(k.asked) }
+// share returns the share of the orders that were in time.
+func (k *orderKind) share() float64 { return float64(k.inTime) / float64(k.asked) }
 
-// playBurst plays 12 of 15 targets of the middle pool of a chain (a data centre is drained),
-// 50 pieces a call, 200 ms a call and 3.4 ms a piece, under the burst of one kind: x 2.6 for
-// 5.4 s, six pieces an order, which are due within 2.4 s. They make 1,620 pieces a second and
-// are asked for 2,480.
-func playBurst(t testing.TB, off mechanism.Set) (urgent, other *kind) {
+// playBurst simulates 12 of the 15 targets of the middle pool of a chain (one data centre is
+// drained) with 50 pieces a call, 200 ms a call and 3.4 ms a piece. One kind of order bursts to
+// 2.6 times its rate for 5.4 s. An order has six pieces and is due within 2.4 s. The pool
+// produces 1,620 pieces a second, and 2,480 are ordered.
+func playBurst(t testing.TB, off mechanism.Set) (urgent, other *orderKind) {
 	spec := &routes.Batch{Slots: 1, Queue: 2, Items: 50, CallTime: 200 * time.Millisecond, ItemTime: 3400 * time.Microsecond, RoomBytes: 1 << 30, Keep: 4 * time.Second}
 	list := targets.New("dc")
 	var all []targets.Target
@@ -63,13 +63,13 @@
 		all = append(all, targets.Target{ID: fmt.Sprint("t", i), Service: "pool", Addr: fmt.Sprint("t", i), DataCentre: "dc", Slots: 1})
 	}
 	list.Update(all, time.Time{})
-	f := NewFormer(soundTargets{spec}, list, func(string) *routes.Batch { return spec }, quiet)
+	f := NewFormer(healthyTargets{spec}, list, func(string) *routes.Batch { return spec }, discardLog)
 	f.Off = off
-	urgent = &kind{rank: 4, perSecond: 143 * 2.6, deadline: 6 * time.Second}
-	other = &kind{rank: 5, perSecond: 41.6, deadline: 20 * time.Second}
+	urgent = &orderKind{rank: 4, perSecond: 143 * 2.6, deadline: 6 * time.Second}
+	other = &orderKind{rank: 5, perSecond: 41.6, deadline: 20 * time.Second}
 	var mu sync.Mutex
 	var orders sync.WaitGroup
-	order := func(k *kind, n int) {
+	order := func(k *orderKind, n int) {
 		now := time.Now()
 		o := Order{
 			Service: "pool", Request: fmt.Sprint(k.rank, "-", n), Stage: 1, Pieces: 6, Priority: k.rank, ResultBytes: 60000,
@@ -83,7 +83,7 @@
 			k.inTime++
 		}
 	}
-	for _, k := range []*kind{urgent, other} {
+	for _, k := range []*orderKind{urgent, other} {
 		orders.Go(func() {
 			for n := range int(5.4 * k.perSecond) {
 				orders.Go(func() { order(k, n) })
@@ -95,8 +95,8 @@
 	return urgent, other
 }
 
-// In a burst of one kind the less urgent one is served nearly as often, and the more urgent
-// one not less often than it.
+// In a burst of one kind of order, orders of the less urgent kind are in time nearly as often,
+// and orders of the more urgent kind at least as often as these.
 func TestBurstOfOneKindLeavesNobodyBehind(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		urgent, other := playBurst(t, 0)
@@ -107,10 +107,10 @@
 	})
 }
 
-// BenchmarkBurstOfOneKind states the shares in time of the same burst. By strict ranks they
-// were 0.97 and 0.12; with head starts of 150 ms they are 0.91 and 0.71.
+// BenchmarkBurstOfOneKind reports the shares in time for the same burst. They are 0.97 and 0.12
+// with strict ranks, and 0.91 and 0.71 with rank steps of 150 ms.
 func BenchmarkBurstOfOneKind(b *testing.B) {
-	var urgent, other *kind
+	var urgent, other *orderKind
 	for b.Loop() {
 		bubble.Run(b, func() { urgent, other = playBurst(b, 0) })
 	}
--- a/internal/stagebatch/estimate.go
+++ b/internal/stagebatch/estimate.go
@@ -9,13 +9,14 @@
 	"topazmoor/internal/routes"
 )
 
-// Waits tells how long a piece that comes now waits for its call to begin.
+// Waits are the estimated times that a new piece waits until its call starts.
 type Waits struct {
-	// OnTime are the waits of pieces that can meet their objective, by rank from 0 on.
-	// Ranks beyond the last wait as long as the last; without any, nothing waits.
+	// OnTime has the waits of pieces that can meet their objective, by rank from 0. Higher ranks
+	// use the last entry. If it is empty, there is no wait.
 	OnTime []time.Duration
-	// LateBegun and LateNew are the waits of pieces that are late: of those whose request
-	// has results of earlier stages, and of the others, which go last.
+	// LateBegun and LateNew are the waits of late pieces: LateBegun if their request has results
+	// of earlier stages, LateNew otherwise. The estimate assumes that late pieces without
+	// earlier results are served last.
 	LateBegun, LateNew time.Duration
 }
 
@@ -27,18 +28,18 @@
 	return w.OnTime[min(max(rank, 0), len(w.OnTime)-1)]
 }
 
-// Work is what an estimate is asked for.
+// Work describes the order for which an estimate is requested.
 type Work struct {
 	Rank, Pieces int
-	// Late says that the request will miss its objective, Begun that results of earlier
-	// stages are there.
+	// Late means that the request will miss its objective, Begun that results of earlier stages
+	// exist.
 	Late, Begun bool
-	// Regions are those in which the work may be done.
+	// Regions are the regions in which the order may run.
 	Regions region.Set
 }
 
-// of returns the wait of a piece.
-func (w Waits) of(work Work) time.Duration {
+// forWork returns the wait of the pieces of an order.
+func (w Waits) forWork(work Work) time.Duration {
 	switch {
 	case work.Late && work.Begun:
 		return max(w.LateBegun, w.Of(work.Rank))
@@ -49,85 +50,85 @@
 }
 
 const (
-	// maxRanks bounds the ranks that are told apart in estimates: accounts and routes
-	// have two to four priorities each.
+	// maxRanks bounds the number of ranks that estimates distinguish. Accounts and routes have
+	// two to four priorities each.
 	maxRanks = 16
-	// rateWindow is the time over which the pieces that came and that were made are
-	// counted: some calls of each target.
+	// rateWindow is the period over which arrived and produced pieces are counted. It spans
+	// several calls of each target.
 	rateWindow = 1500 * time.Millisecond
-	// leastShare is the least share of a pool's rate that a rank is presumed to get,
-	// however many more urgent pieces come: bursts end within seconds.
-	leastShare = 0.2
-	// waitsLife is for how long estimates are told again without working them out.
-	waitsLife = 40 * time.Millisecond
+	// minShare is the minimum share of a pool's rate that estimates assign to a rank, however
+	// many more urgent pieces arrive, as bursts end within seconds.
+	minShare = 0.2
+	// waitsTTL is how long computed estimates are reused.
+	waitsTTL = 40 * time.Millisecond
 )
 
-// traffic counts the pieces that lately came to a pool and that it made.
+// traffic counts the pieces that recently arrived at a pool and those that it produced.
 type traffic struct {
-	came []counted
-	made []counted
-	// busySince is since when pieces have been waiting at the end of each call.
+	arrived  []pieceCount
+	produced []pieceCount
+	// busySince is the last time at which a call ended with an empty queue.
 	busySince time.Time
-	// ranks is one more than the last rank that was seen.
+	// ranks is one more than the highest rank seen.
 	ranks int
 
 	waits   Waits
 	waitsAt time.Time
-	// hopelessAt is when late orders are looked through again.
-	hopelessAt time.Time
+	// nextLateCheck is when the late orders are checked again.
+	nextLateCheck time.Time
 }
 
-// counted is the pieces of one order, or of one call.
-type counted struct {
+// pieceCount is the number of pieces of one order or one call.
+type pieceCount struct {
 	at     time.Time
 	rank   int
 	pieces int
 }
 
-// recent returns what lies in the window, of entries in the order of their times. It
-// leaves them as they are.
-func recent(all []counted, now time.Time) []counted {
-	first := slices.IndexFunc(all, func(c counted) bool { return now.Sub(c.at) < rateWindow })
+// recent returns the entries within rateWindow. all is sorted by time and is not modified.
+func recent(all []pieceCount, now time.Time) []pieceCount {
+	first := slices.IndexFunc(all, func(c pieceCount) bool { return now.Sub(c.at) < rateWindow })
 	if first < 0 {
 		return nil
 	}
 	return all[first:]
 }
 
-// noteOrder notes the pieces of an order that came.
-func (t *traffic) noteOrder(rank, pieces int, now time.Time) {
+// recordOrder counts the pieces of a new order.
+func (t *traffic) recordOrder(rank, pieces int, now time.Time) {
 	rank = min(max(rank, 0), maxRanks-1)
 	t.ranks = max(t.ranks, rank+1)
-	t.came = append(recent(t.came, now), counted{at: now, rank: rank, pieces: pieces})
+	t.arrived = append(recent(t.arrived, now), pieceCount{at: now, rank: rank, pieces: pieces})
 }
 
-// noteMade notes the pieces of a call that ended, and since when pieces wait.
-func (t *traffic) noteMade(pieces, queued int, now time.Time) {
-	t.made = append(recent(t.made, now), counted{at: now, pieces: pieces})
+// recordProduced counts the pieces of a completed call. queued is the length of the queue.
+func (t *traffic) recordProduced(pieces, queued int, now time.Time) {
+	t.produced = append(recent(t.produced, now), pieceCount{at: now, pieces: pieces})
 	if queued == 0 {
 		t.busySince = now
 	}
 }
 
-// rate returns how many pieces a second the pool makes: what it lately made
-// while pieces waited, or, before that is known, what its good targets could.
-// Room binds some pools far below that.
+// rate returns the pool's rate in pieces per second. If pieces have waited at the end of each
+// call for all of rateWindow, it is the recent rate, at least a quarter and at most all of what
+// the good targets can produce; otherwise it is all of that. Lack of space for results keeps
+// some pools far below what their targets can produce.
 func (t *traffic) rate(spec *routes.Batch, good float64, now time.Time) float64 {
-	could := good * float64(max(spec.Items, 1)) / expected(spec, spec.Items).Seconds()
+	reachable := good * float64(max(spec.Items, 1)) / expected(spec, spec.Items).Seconds()
 	if now.Sub(t.busySince) < rateWindow {
-		return could
+		return reachable
 	}
-	made := 0
-	for _, m := range recent(t.made, now) {
-		made += m.pieces
+	produced := 0
+	for _, m := range recent(t.produced, now) {
+		produced += m.pieces
 	}
-	return min(could, max(float64(made)/rateWindow.Seconds(), could/4))
+	return min(reachable, max(float64(produced)/rateWindow.Seconds(), reachable/4))
 }
 
-// wait returns the estimates of a pool. Those that are late already go after all others,
-// so that only late ones wait for them.
+// wait returns the estimated waits of a pool. Late pieces are served after all others, so only
+// the estimates for late pieces include them.
 func (p *pool) wait(spec *routes.Batch, now time.Time) Waits {
-	if now.Sub(p.waitsAt) < waitsLife && len(p.waits.OnTime) == p.ranks {
+	if now.Sub(p.waitsAt) < waitsTTL && len(p.waits.OnTime) == p.ranks {
 		return p.waits
 	}
 	ahead, coming := make([]int, p.ranks), make([]int, p.ranks)
@@ -143,40 +144,41 @@
 			lateNew++
 		}
 	}
-	for _, c := range recent(p.came, now) {
+	for _, c := range recent(p.arrived, now) {
 		coming[c.rank] += c.pieces
 	}
-	good, idle := p.targets(spec, now)
+	good, idle := p.countTargets(spec, now)
 	rate := p.rate(spec, good, now)
 	var residual time.Duration
 	if idle == 0 {
-		// The next of the busy targets is free after a part of its call.
+		// The first busy target becomes free after part of its call.
 		residual = times(expected(spec, spec.Items/2), 1/(good+1))
 	}
-	residual = max(residual, p.opensIn(now))
+	residual = max(residual, p.restLeft(now))
 	out := Waits{OnTime: make([]time.Duration, p.ranks)}
 	before, urgent := 0, 0.0
-	// made returns how long the pool makes a number of pieces, while more urgent ones
-	// that come meanwhile go first.
-	made := func(pieces int) time.Duration {
-		left := max(rate-urgent/rateWindow.Seconds(), leastShare*rate)
+	// timeFor returns how long the pool takes for a number of pieces while more urgent pieces
+	// that arrive meanwhile are served first.
+	timeFor := func(pieces int) time.Duration {
+		left := max(rate-urgent/rateWindow.Seconds(), minShare*rate)
 		return time.Duration(float64(pieces)/left*float64(time.Second)) + residual
 	}
 	for rank := range out.OnTime {
 		before += ahead[rank]
-		out.OnTime[rank] = made(before)
+		out.OnTime[rank] = timeFor(before)
 		urgent += float64(coming[rank])
 	}
-	out.LateBegun = made(before + lateBegun)
-	out.LateNew = made(before + lateBegun + lateNew)
+	out.LateBegun = timeFor(before + lateBegun)
+	out.LateNew = timeFor(before + lateBegun + lateNew)
 	p.waits, p.waitsAt = out, now
 	return out
 }
 
-// opensIn is how long all targets of a pool rest; 0 where one may be called.
-func (p *pool) opensIn(now time.Time) time.Duration {
+// restLeft returns the time until the first target may be called if all targets of the pool
+// rest; otherwise 0.
+func (p *pool) restLeft(now time.Time) time.Duration {
 	var least time.Duration
-	for _, m := range p.makers {
+	for _, m := range p.states {
 		left := m.opens.Sub(now)
 		if m.standing < readiness.Resting || left <= 0 {
 			return 0
@@ -188,44 +190,45 @@
 	return least
 }
 
-// targets counts the targets that work well, and of these the idle ones. One that names a limit counts
-// by the part of its time that calls fill.
-func (p *pool) targets(spec *routes.Batch, now time.Time) (good float64, idle int) {
-	for _, m := range p.makers {
+// countTargets returns the number of targets that are available and not slow, and how many of
+// them are idle. A target with a rate limit counts as the fraction of time for which the limit
+// lets it work.
+func (p *pool) countTargets(spec *routes.Batch, now time.Time) (good float64, idle int) {
+	for _, m := range p.states {
 		if now.Before(m.pausedUntil) || m.standing >= readiness.Resting || m.slow() >= slowFactor {
 			continue
 		}
-		part := m.part(spec)
-		good += part
-		if m.calls < max(spec.Slots, 1) && part == 1 {
+		activeShare := m.activeShare(spec)
+		good += activeShare
+		if m.calls < max(spec.Slots, 1) && activeShare == 1 {
 			idle++
 		}
 	}
-	// Those that are not worked with are as soon as there is work for them.
-	good += float64(p.working.spares())
-	idle += p.working.spares()
+	// Targets outside the working set are added to it as soon as there is work for them.
+	good += float64(p.working.unusedTargets())
+	idle += p.working.unusedTargets()
 	if good == 0 {
-		// Some recover within the time that estimates look ahead.
+		// Some targets recover within the period that the estimates cover.
 		return 1, idle
 	}
 	return good, idle
 }
 
-// hopelessLook is how often the late orders of a pool are looked through.
-const hopelessLook = 200 * time.Millisecond
+// lateCheckInterval is how often the late orders of a pool are checked.
+const lateCheckInterval = 200 * time.Millisecond
 
-// giveUpHopeless ends the late orders that will not be done by their deadline: all
-// others go before them, and more come. Their callers are told at once, while they
-// can still come back, instead of at the deadline.
-func (p *pool) giveUpHopeless(spec *routes.Batch, now time.Time) {
-	if now.Before(p.hopelessAt) {
+// failHopeless fails the late orders that cannot be completed by their deadline: all other
+// orders go first, and more arrive. Their callers get the error at once, while they can still
+// retry, and not at the deadline.
+func (p *pool) failHopeless(spec *routes.Batch, now time.Time) {
+	if now.Before(p.nextLateCheck) {
 		return
 	}
-	p.hopelessAt = now.Add(hopelessLook)
-	good, _ := p.targets(spec, now)
+	p.nextLateCheck = now.Add(lateCheckInterval)
+	good, _ := p.countTargets(spec, now)
 	rate := p.rate(spec, good, now)
 	coming, onTime := 0, 0
-	for _, c := range recent(p.came, now) {
+	for _, c := range recent(p.arrived, now) {
 		coming += c.pieces
 	}
 	var late []*piece
@@ -238,8 +241,8 @@
 			onTime++
 		}
 	}
-	slices.SortStableFunc(late, func(a, b *piece) int { return before(a, b, now, place{}) })
-	left := max(rate-float64(coming)/rateWindow.Seconds(), leastShare*rate)
+	slices.SortStableFunc(late, func(a, b *piece) int { return before(a, b, now, placement{}) })
+	left := max(rate-float64(coming)/rateWindow.Seconds(), minShare*rate)
 	for i, pc := range late {
 		wait := time.Duration(float64(onTime+i) / left * float64(time.Second))
 		if now.Add(wait).After(pc.order.Deadline) {
--- a/internal/stagebatch/estimate_test.go
+++ b/internal/stagebatch/estimate_test.go
@@ -12,13 +12,13 @@
 	"topazmoor/internal/routes"
 )
 
-// rankedOrder is an order of a rank that is due in a second.
+// rankedOrder returns an order of the given rank that is due in a second.
 func rankedOrder(id string, rank, pieces int) Order {
 	now := time.Now()
 	return Order{Service: "pool", Request: id, Pieces: pieces, Priority: rank, Due: now.Add(time.Second), Deadline: now.Add(20 * time.Second), Key: "k"}
 }
 
-// produceAndFree runs an order and gives its results up.
+// produceAndFree runs an order and releases its results.
 func produceAndFree(t *testing.T, f *Former, o Order) {
 	res, err := f.Produce(t.Context(), o, nil)
 	if err == nil {
@@ -26,21 +26,22 @@
 	}
 }
 
-// A node took what it last heard of a pool, from an order of any rank, for the wait of
-// all ranks: urgent requests were refused while the pool was full of others.
-func TestUrgentPiecesAreToldAShortWait(t *testing.T) {
+// Guards against using the wait last reported for an order of any rank as the wait of all ranks:
+// urgent requests are refused then while the pool is full of less urgent ones.
+func TestUrgentPiecesHaveAShortWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		// Also after a check that failed.
+		// Lets the orders end also after a failed check.
 		defer time.Sleep(30 * time.Second)
 		pool, list := newFakePool(2)
-		f := NewFormer(pool, list, poolSpec, quiet)
+		f := NewFormer(pool, list, poolSpec, discardLog)
 		for i := range 10 {
 			go produceAndFree(t, f, rankedOrder(fmt.Sprint("low", i), 3, 8))
 		}
-		time.Sleep(2 * waitsLife)
+		time.Sleep(2 * waitsTTL)
 		waits := f.Waits("pool")
-		// Two of ten orders are in calls, and the next call begins within one.
+		// Two of the ten orders are in calls, and the next call starts within the time of one
+		// call.
 		call := expected(poolSpec(""), 8)
 		c.Assert(waits.Of(0) <= call, qt.IsTrue, qt.Commentf("%v", waits))
 		c.Assert(waits.Of(3) > 3*call, qt.IsTrue, qt.Commentf("%v", waits))
@@ -48,38 +49,38 @@
 	})
 }
 
-// The estimate of a rank counts the more urgent pieces that come meanwhile.
+// The estimate of a rank includes the more urgent pieces that arrive meanwhile.
 func TestLessUrgentPiecesWaitForThoseThatComeMeanwhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		// Also after a check that failed.
+		// Lets the orders end also after a failed check.
 		defer time.Sleep(30 * time.Second)
 		pool, list := newFakePool(2)
-		f := NewFormer(pool, list, poolSpec, quiet)
+		f := NewFormer(pool, list, poolSpec, discardLog)
 		low := func(id string) {
 			go produceAndFree(t, f, rankedOrder(id, 3, 8))
 		}
 		for i := range 6 {
 			low(fmt.Sprint("low", i))
 		}
-		time.Sleep(2 * waitsLife)
+		time.Sleep(2 * waitsTTL)
 		alone := f.Waits("pool").Of(3)
 		for i := range 3 {
 			go produceAndFree(t, f, rankedOrder(fmt.Sprint("high", i), 0, 8))
 		}
 		synctest.Wait()
-		time.Sleep(2 * waitsLife)
+		time.Sleep(2 * waitsTTL)
 		c.Assert(f.Waits("pool").Of(3) > alone+expected(poolSpec(""), 8), qt.IsTrue)
 	})
 }
 
-// More urgent ranks never wait longer, whatever the orders and the targets' faults.
+// More urgent ranks never wait longer, for any sequence of orders.
 func TestOracleWaitsRiseWithTheRank(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		ranks := rapid.SliceOfN(rapid.IntRange(0, 20), 0, 40).Draw(rt, "ranks")
 		synctest.Test(t, func(t *testing.T) {
 			pool, list := newFakePool(3)
-			f := NewFormer(pool, list, poolSpec, quiet)
+			f := NewFormer(pool, list, poolSpec, discardLog)
 			for i, rank := range ranks {
 				go produceAndFree(t, f, rankedOrder(fmt.Sprint(i), rank, 1+i%5))
 				time.Sleep(time.Duration(i%7) * 20 * time.Millisecond)
@@ -97,16 +98,16 @@
 	})
 }
 
-// With more pieces waiting than the targets take in a call nobody was made where it
-// wished to be, except by chance.
+// When more pieces wait than the targets take in one call, a target still takes the orders that
+// prefer its data centre first. Otherwise they run there only by chance.
 func TestFullPoolMakesOrdersWhereTheyWish(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		spec := poolSpec("")
-		pl := place{dataCentre: "here", working: map[string]bool{"here": true, "there": true}}
+		pl := placement{dataCentre: "here", working: map[string]bool{"here": true, "there": true}}
 		var queue []*piece
 		for i := range 6 {
-			o := &order{Order: rankedOrder(fmt.Sprint(i), 0, 4), seq: uint64(i), since: time.Now()}
+			o := &order{Order: rankedOrder(fmt.Sprint(i), 0, 4), seq: uint64(i), queuedAt: time.Now()}
 			o.DataCentre = []string{"there", "here"}[i%2]
 			for n := range o.Pieces {
 				queue = append(queue, &piece{order: o, index: n, queued: true})
@@ -117,30 +118,30 @@
 		for _, p := range batch {
 			c.Assert(p.order.DataCentre, qt.Equals, "here")
 		}
-		// Urgency goes before place.
+		// Urgency has precedence over the preferred data centre.
 		rest[len(rest)-1].order.Priority = -1
 		batch, _ = take(rest, spec, spec.RoomBytes, time.Now(), pl)
 		c.Assert(batch[0].order.DataCentre, qt.Equals, "there")
 	})
 }
 
-// What came is counted once, however often the estimates are worked out.
+// Arrived pieces are counted once, however often the estimates are computed.
 func TestPiecesAreCountedOnceInEstimates(t *testing.T) {
 	c := qt.New(t)
 	spec := &routes.Batch{Slots: 1, Items: 8, CallTime: 200 * time.Millisecond, ItemTime: 20 * time.Millisecond, RoomBytes: 1 << 30}
 	start := time.Date(2026, 3, 5, 0, 0, 0, 0, time.UTC)
 	counted := func(lookAgain bool) Waits {
-		p := &pool{makers: map[string]*maker{"a": {}}, traffic: traffic{busySince: start}}
-		p.noteOrder(2, 3, start)
-		p.noteOrder(1, 5, start.Add(time.Second))
-		p.noteOrder(0, 6, start.Add(rateWindow+100*time.Millisecond))
+		p := &pool{states: map[string]*targetState{"a": {}}, traffic: traffic{busySince: start}}
+		p.recordOrder(2, 3, start)
+		p.recordOrder(1, 5, start.Add(time.Second))
+		p.recordOrder(0, 6, start.Add(rateWindow+100*time.Millisecond))
 		for i := range 6 {
 			pc := &piece{order: &order{Order: Order{Priority: i % 3, Due: start.Add(time.Minute)}}, queued: true}
 			p.queue = append(p.queue, pc)
 		}
 		if lookAgain {
 			for i := range 30 {
-				p.wait(spec, start.Add(rateWindow+200*time.Millisecond+time.Duration(i)*waitsLife))
+				p.wait(spec, start.Add(rateWindow+200*time.Millisecond+time.Duration(i)*waitsTTL))
 			}
 		}
 		return p.wait(spec, start.Add(rateWindow+1450*time.Millisecond))
--- a/internal/stagebatch/fairness_test.go
+++ b/internal/stagebatch/fairness_test.go
@@ -10,15 +10,15 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// share counts orders and those that were done in time.
+// share counts orders and how many of them were in time.
 type share struct{ asked, inTime float64 }
 
-// A pool that gets twice what it can do serves a small client account as often as a large
-// one of the same rank, and callers of a data centre without targets as often as others.
+// At twice its rate, a pool serves a small client account as often as a large one of the same
+// rank, and orders that prefer a data centre without targets as often as others.
 func TestBusyPoolServesAccountsAndDataCentresAlike(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, list := newFakePool(4)
-		f := NewFormer(p, list, poolSpec, quiet)
+		f := NewFormer(p, list, poolSpec, discardLog)
 		var mu sync.Mutex
 		shares := make(map[string]*share)
 		note := func(key string, inTime bool) {
@@ -33,7 +33,7 @@
 			}
 		}
 		var orders sync.WaitGroup
-		// 200 orders of two pieces a second; four targets make 89 pieces a second.
+		// 200 orders a second with two pieces each; the four targets produce 89 pieces a second.
 		for i := range 2000 {
 			account := "large"
 			if i%11 == 0 {
@@ -41,7 +41,7 @@
 			}
 			place := []string{"dc", "elsewhere", ""}[i%3]
 			orders.Go(func() {
-				o := at(fmt.Sprint(account, i), 2, 1, time.Second)
+				o := orderDueIn(fmt.Sprint(account, i), 2, 1, time.Second)
 				o.Deadline = time.Now().Add(2 * time.Second)
 				o.ResultBytes, o.DataCentre = 1, place
 				res, err := f.Produce(t.Context(), o, nil)
--- a/internal/stagebatch/former_test.go
+++ b/internal/stagebatch/former_test.go
@@ -17,15 +17,15 @@
 	"topazmoor/internal/targets"
 )
 
-// fakePool is the targets of a stage pool in virtual time, with faults. It
-// implements Worker.
+// fakePool simulates the targets of a stage pool in virtual time, with faults. It implements
+// Worker.
 type fakePool struct {
 	mu    sync.Mutex
 	hosts map[string]*fakeHost
-	// made counts how often each piece was made.
+	// made counts how often each piece was produced.
 	made map[string]int
-	// bad lists what no sound former does.
-	bad []string
+	// violations lists violations of the limits that a former must keep.
+	violations []string
 }
 
 // fakeHost is one target.
@@ -33,19 +33,19 @@
 	calls, items int
 	largest      int
 	running      int
-	// factor makes calls slower; dark ones never end.
-	factor float64
-	dark   bool
-	// others are the calls of other formers that it tells of.
+	// factor multiplies the duration of calls. Calls to an unresponsive target never end.
+	factor       float64
+	unresponsive bool
+	// others is the number of calls of other formers that the target reports.
 	others int
-	// fail is the error of the next calls.
+	// fail has the errors of the next calls.
 	fail []error
-	// connects is how long a call takes before its first byte, reached counts those that were
-	// sent.
+	// connects is the time before the first byte of a call is sent. reached counts the calls
+	// that were sent.
 	connects time.Duration
 	reached  int
-	// room is what results may still take; results holds those that lie here.
-	room    int64
+	// space is the free space for results. results has the sizes of the stored results.
+	space   int64
 	results map[string]int64
 }
 
@@ -55,7 +55,7 @@
 	var all []targets.Target
 	for i := range n {
 		addr := fmt.Sprintf("10.0.0.%d:1", i+1)
-		p.hosts[addr] = &fakeHost{factor: 1, room: 1 << 20, results: make(map[string]int64)}
+		p.hosts[addr] = &fakeHost{factor: 1, space: 1 << 20, results: make(map[string]int64)}
 		all = append(all, targets.Target{ID: fmt.Sprint("t", i), Service: "pool", Addr: addr, DataCentre: "dc", Slots: 1})
 	}
 	list.Update(all, time.Time{})
@@ -74,17 +74,17 @@
 	h.running++
 	spec := poolSpec("")
 	if h.running > spec.Slots {
-		p.bad = append(p.bad, "more calls than slots at "+t.Addr)
+		p.violations = append(p.violations, "more calls than slots at "+t.Addr)
 	}
 	if len(items) > spec.Items {
-		p.bad = append(p.bad, "a call of too many pieces")
+		p.violations = append(p.violations, "a call of too many pieces")
 	}
 	takes := time.Duration(h.factor * float64(expected(spec, len(items))))
-	if h.room < testResultBytes {
-		// Servers turn all pieces away without working.
+	if h.space < testResultBytes {
+		// Full targets reject all pieces at once.
 		takes = 0
 	}
-	dark := h.dark
+	unresponsive := h.unresponsive
 	var fail error
 	if len(h.fail) > 0 {
 		fail, h.fail = h.fail[0], h.fail[1:]
@@ -107,7 +107,7 @@
 		time.Sleep(10 * time.Millisecond)
 		return Reply{}, fail
 	}
-	if dark {
+	if unresponsive {
 		<-ctx.Done()
 		return Reply{}, &CallError{Cause: ctx.Err()}
 	}
@@ -124,14 +124,14 @@
 	defer p.mu.Unlock()
 	out := make([]ItemResult, len(items))
 	for i, it := range items {
-		if h.room < testResultBytes {
+		if h.space < testResultBytes {
 			out[i].Reason = NoRoom
 			continue
 		}
 		id := fmt.Sprintf("%s/%d/%d", it.Request, it.Stage, it.Piece)
 		p.made[id]++
 		out[i].Handle = fmt.Sprintf("%s/%s#%d", addr, id, p.made[id])
-		h.room -= testResultBytes
+		h.space -= testResultBytes
 		h.results[out[i].Handle] = testResultBytes
 	}
 	return out
@@ -143,7 +143,7 @@
 	defer p.mu.Unlock()
 	h := p.hosts[addr]
 	for _, handle := range handles {
-		h.room += h.results[handle]
+		h.space += h.results[handle]
 		delete(h.results, handle)
 	}
 	return nil
@@ -153,7 +153,7 @@
 func (p *fakePool) Room(_ context.Context, addr string) (int64, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.hosts[addr].room, nil
+	return p.hosts[addr].space, nil
 }
 
 // Maker implements Worker.
@@ -164,8 +164,8 @@
 
 func (p *fakePool) host(i int) *fakeHost { return p.hosts[fmt.Sprintf("10.0.0.%d:1", i+1)] }
 
-// at returns an order due some time from now.
-func at(request string, pieces, priority int, due time.Duration) Order {
+// orderDueIn returns an order that is due after the given time.
+func orderDueIn(request string, pieces, priority int, due time.Duration) Order {
 	now := time.Now()
 	return Order{
 		Service: "pool", Request: request, Pieces: pieces, Priority: priority, Key: "k",
@@ -177,11 +177,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		p, list := newFakePool(1)
-		f := NewFormer(p, list, poolSpec, quiet)
+		f := NewFormer(p, list, poolSpec, discardLog)
 		var wg sync.WaitGroup
 		for i := range 5 {
 			wg.Go(func() {
-				o := at(fmt.Sprint("r", i), 2, 0, time.Second)
+				o := orderDueIn(fmt.Sprint("r", i), 2, 0, time.Second)
 				o.ResultBytes = 1
 				_, err := f.Produce(t.Context(), o, nil)
 				c.Check(err, qt.IsNil)
@@ -189,7 +189,7 @@
 			synctest.Wait()
 		}
 		wg.Wait()
-		// The first order finds an idle target; the others meet while it works.
+		// The first order finds an idle target. The others share the next call.
 		c.Assert(p.host(0).calls, qt.Equals, 2)
 		c.Assert(p.host(0).largest, qt.Equals, 8)
 	})
@@ -199,7 +199,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		p, list := newFakePool(1)
-		f := NewFormer(p, list, poolSpec, quiet)
+		f := NewFormer(p, list, poolSpec, discardLog)
 		var mu sync.Mutex
 		var ended []string
 		var wg sync.WaitGroup
@@ -214,26 +214,26 @@
 			})
 			synctest.Wait()
 		}
-		start(at("running", 8, 2, 10*time.Second))
-		start(at("late", 8, 0, 0))
-		start(at("low", 8, 2, 10*time.Second))
-		start(at("high", 8, 0, 10*time.Second))
+		start(orderDueIn("running", 8, 2, 10*time.Second))
+		start(orderDueIn("late", 8, 0, 0))
+		start(orderDueIn("low", 8, 2, 10*time.Second))
+		start(orderDueIn("high", 8, 0, 10*time.Second))
 		wg.Wait()
 		c.Assert(ended, qt.DeepEquals, []string{"running", "high", "low", "late"})
 	})
 }
 
-// A target five times too slow kept getting calls, because its slowness was
-// averaged over the last eight.
+// Guards against further calls to a target that is five times too slow. This happens if its
+// slowness reacts slowly, for example as an average over eight calls.
 func TestSlowTargetIsLeftAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		p, list := newFakePool(2)
 		p.host(0).factor = 5
-		f := NewFormer(p, list, poolSpec, quiet)
+		f := NewFormer(p, list, poolSpec, discardLog)
 		for i := range 20 {
 			start := time.Now()
-			res, err := f.Produce(t.Context(), at(fmt.Sprint("r", i), 1, 0, time.Second), nil)
+			res, err := f.Produce(t.Context(), orderDueIn(fmt.Sprint("r", i), 1, 0, time.Second), nil)
 			c.Assert(err, qt.IsNil)
 			f.Free("pool", res.Handles)
 			c.Assert(time.Since(start) < 900*time.Millisecond, qt.IsTrue, qt.Commentf("order %d took %v", i, time.Since(start)))
@@ -246,51 +246,51 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		p, list := newFakePool(1)
-		f := NewFormer(p, list, poolSpec, quiet)
+		f := NewFormer(p, list, poolSpec, discardLog)
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer cancel()
-		_, err := f.Produce(ctx, at("left", 3, 0, time.Second), nil)
+		_, err := f.Produce(ctx, orderDueIn("left", 3, 0, time.Second), nil)
 		c.Assert(errors.Is(err, context.DeadlineExceeded), qt.IsTrue)
 		time.Sleep(time.Second)
-		room, err := p.Room(t.Context(), "10.0.0.1:1")
+		free, err := p.Room(t.Context(), "10.0.0.1:1")
 		c.Assert(err, qt.IsNil)
-		c.Assert(room, qt.Equals, int64(1<<20))
-		_, err = f.Produce(t.Context(), at("next", 1, 0, time.Second), nil)
+		c.Assert(free, qt.Equals, int64(1<<20))
+		_, err = f.Produce(t.Context(), orderDueIn("next", 1, 0, time.Second), nil)
 		c.Assert(err, qt.IsNil)
 		c.Assert(p.host(0).items, qt.Equals, 4)
 	})
 }
 
-func TestDarkTargetCostsAnOrderLittle(t *testing.T) {
+func TestUnresponsiveTargetDelaysOrdersLittle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		p, list := newFakePool(2)
-		p.host(0).dark = true
-		f := NewFormer(p, list, poolSpec, quiet)
+		p.host(0).unresponsive = true
+		f := NewFormer(p, list, poolSpec, discardLog)
 		for i := range 5 {
 			start := time.Now()
-			res, err := f.Produce(t.Context(), at(fmt.Sprint("r", i), 2, 0, time.Second), nil)
+			res, err := f.Produce(t.Context(), orderDueIn(fmt.Sprint("r", i), 2, 0, time.Second), nil)
 			c.Assert(err, qt.IsNil)
 			f.Free("pool", res.Handles)
 			c.Assert(time.Since(start) < 900*time.Millisecond, qt.IsTrue, qt.Commentf("order %d took %v", i, time.Since(start)))
 		}
-		// The calls at the dark target end with the order's deadline.
+		// The calls to the unresponsive target end by their timeout.
 		time.Sleep(time.Minute)
 	})
 }
 
-// placed gives the two targets of a pool a data centre each.
-func placed() (*fakePool, *Former) {
+// poolInTwoDataCentres returns a pool with two targets in different data centres.
+func poolInTwoDataCentres() (*fakePool, *Former) {
 	p, list := newFakePool(2)
 	list.Update([]targets.Target{
 		{ID: "t0", Service: "pool", Addr: "10.0.0.1:1", DataCentre: "dc1", Slots: 1},
 		{ID: "t1", Service: "pool", Addr: "10.0.0.2:1", DataCentre: "dc2", Slots: 1},
 	}, time.Time{})
-	return p, NewFormer(p, list, poolSpec, quiet)
+	return p, NewFormer(p, list, poolSpec, discardLog)
 }
 
-func wishing(request, dataCentre string, pieces int, due time.Duration) Order {
-	o := at(request, pieces, 0, due)
+func orderPreferring(request, dataCentre string, pieces int, due time.Duration) Order {
+	o := orderDueIn(request, pieces, 0, due)
 	o.DataCentre, o.ResultBytes = dataCentre, 1
 	return o
 }
@@ -298,15 +298,15 @@
 func TestOrdersAreMadeWhereTheyWishWhileTheyHaveTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		p, f := placed()
+		p, f := poolInTwoDataCentres()
 		var wg sync.WaitGroup
 		for i := range 12 {
 			wg.Go(func() {
-				// Two for one place, then two for the other: the second of a pair
-				// finds the other target free.
+				// The preferred data centre changes with every second order. The second order of
+				// a pair finds the other target free.
 				time.Sleep(time.Duration(i*110) * time.Millisecond)
 				place := i/2%2 + 1
-				res, err := f.Produce(t.Context(), wishing(fmt.Sprint("r", i), fmt.Sprint("dc", place), 1, 3*time.Second), nil)
+				res, err := f.Produce(t.Context(), orderPreferring(fmt.Sprint("r", i), fmt.Sprint("dc", place), 1, 3*time.Second), nil)
 				c.Check(err, qt.IsNil)
 				c.Check(p.Maker(res.Handles[0]), qt.Equals, fmt.Sprintf("10.0.0.%d:1", place))
 			})
@@ -318,11 +318,11 @@
 func TestOrderWithoutTimeIsMadeAnywhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		p, f := placed()
-		go func() { _, _ = f.Produce(t.Context(), wishing("before", "dc1", 8, 3*time.Second), nil) }()
+		p, f := poolInTwoDataCentres()
+		go func() { _, _ = f.Produce(t.Context(), orderPreferring("before", "dc1", 8, 3*time.Second), nil) }()
 		synctest.Wait()
 		start := time.Now()
-		res, err := f.Produce(t.Context(), wishing("urgent", "dc1", 1, 300*time.Millisecond), nil)
+		res, err := f.Produce(t.Context(), orderPreferring("urgent", "dc1", 1, 300*time.Millisecond), nil)
 		c.Assert(err, qt.IsNil)
 		c.Assert(p.Maker(res.Handles[0]), qt.Equals, "10.0.0.2:1")
 		c.Assert(time.Since(start) < 300*time.Millisecond, qt.IsTrue)
@@ -333,11 +333,11 @@
 func TestNobodyWaitsForAPlaceWhileManyPiecesWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		p, f := placed()
+		p, f := poolInTwoDataCentres()
 		var wg sync.WaitGroup
 		for i := range 12 {
 			wg.Go(func() {
-				res, err := f.Produce(t.Context(), wishing(fmt.Sprint("r", i), "dc1", 8, 60*time.Second), nil)
+				res, err := f.Produce(t.Context(), orderPreferring(fmt.Sprint("r", i), "dc1", 8, 60*time.Second), nil)
 				c.Check(err, qt.IsNil)
 				f.Free("pool", res.Handles)
 			})
@@ -351,34 +351,34 @@
 	})
 }
 
-// An answer that got lost held its target's only slot until the deadline of the
+// Guards against a lost reply that occupies its target's only slot until the deadline of the
 // order, up to 20 s.
 func TestLostAnswerDoesNotHoldItsSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		p, list := newFakePool(1)
-		p.host(0).dark = true
-		f := NewFormer(p, list, poolSpec, quiet)
+		p.host(0).unresponsive = true
+		f := NewFormer(p, list, poolSpec, discardLog)
 		time.AfterFunc(100*time.Millisecond, func() {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.host(0).dark = false
+			p.host(0).unresponsive = false
 		})
 		start := time.Now()
-		_, err := f.Produce(t.Context(), at("first", 2, 0, time.Second), nil)
+		_, err := f.Produce(t.Context(), orderDueIn("first", 2, 0, time.Second), nil)
 		c.Assert(err, qt.IsNil)
 		c.Assert(time.Since(start) < 4*time.Second, qt.IsTrue, qt.Commentf("took %v", time.Since(start)))
 	})
 }
 
-// TestOracleOrdersGetTheirOwnResults runs random orders against targets with
-// random faults. An order that ends well has one result of each of its own
-// pieces, in their order; no call is larger than a batch or finds the slot
-// taken; and nothing lies at a target once all results were given up.
+// TestOracleOrdersGetTheirOwnResults runs random orders against targets with random faults. An
+// order without an error has one result for each of its own pieces, in order. No call is larger
+// than a batch or exceeds the slots of a target. No result remains at a target after all were
+// released.
 //
-// It was seen to fail within its 100 scripts for each of: a result handed to the
-// next piece of the batch (takeIn), no look at the slots of a target
-// (maker.free), results of ended orders kept (takeIn).
+// It detects each of these faults within its 100 scripts: a result assigned to the next piece of
+// the batch (applyResults), no check of the slots of a target (targetState.free), results of
+// ended orders not released (applyResults).
 func TestOracleOrdersGetTheirOwnResults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		type step struct {
@@ -407,7 +407,7 @@
 					p.host(i).fail = append(p.host(i).fail, &CallError{NotRun: n%2 == 0, Cause: errors.New("made to fail")})
 				}
 			}
-			f := NewFormer(p, list, poolSpec, quiet)
+			f := NewFormer(p, list, poolSpec, discardLog)
 			var wg sync.WaitGroup
 			for i, s := range steps {
 				time.Sleep(s.after)
@@ -415,7 +415,7 @@
 					ctx, cancel := context.WithTimeout(t.Context(), s.patience)
 					defer cancel()
 					request := fmt.Sprint("r", i)
-					res, err := f.Produce(ctx, at(request, s.pieces, s.priority, s.patience/2), nil)
+					res, err := f.Produce(ctx, orderDueIn(request, s.pieces, s.priority, s.patience/2), nil)
 					if err != nil {
 						return
 					}
@@ -434,7 +434,7 @@
 			time.Sleep(time.Minute)
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			for _, b := range p.bad {
+			for _, b := range p.violations {
 				t.Error(b)
 			}
 			for addr, h := range p.hosts {
@@ -446,8 +446,8 @@
 	})
 }
 
-// A slow target was called only every 2.5 s, and otherwise lent its pool nothing while
-// pieces waited. It takes what it makes in time, and what is late anyhow.
+// Guards against leaving a slow target nearly idle while pieces wait. It takes orders that it
+// completes in time, and orders that would be late at any target.
 func TestSlowTargetTakesWhatItMakesInTime(t *testing.T) {
 	c := qt.New(t)
 	now := time.Date(2026, 3, 5, 0, 0, 0, 0, time.UTC)
@@ -457,16 +457,16 @@
 		due, deadline time.Duration
 		taken         bool
 	}{
-		// In time at a sound target only.
+		// In time only at a healthy target.
 		{2 * takes, 20 * time.Second, false},
-		// In time here too.
+		// In time at the slow target too.
 		{4 * takes, 20 * time.Second, true},
-		// Late anyhow, and done by the deadline, or not.
+		// Late at any target. The first is done by its deadline, the second is not.
 		{takes / 2, 20 * time.Second, true},
 		{takes / 2, 2 * takes, false},
 	} {
-		o := &order{Order: Order{Pieces: 1, Due: now.Add(tc.due), Deadline: now.Add(tc.deadline)}, since: now}
-		pl := place{slower: 3}
+		o := &order{Order: Order{Pieces: 1, Due: now.Add(tc.due), Deadline: now.Add(tc.deadline)}, queuedAt: now}
+		pl := placement{slower: 3}
 		batch, rest := take([]*piece{{order: o, queued: true}}, spec, spec.RoomBytes, now, pl)
 		c.Assert(len(batch) == 1, qt.Equals, tc.taken, qt.Commentf("due in %v", tc.due))
 		c.Assert(len(batch)+len(rest), qt.Equals, 1)
--- a/internal/stagebatch/means.go
+++ b/internal/stagebatch/means.go
@@ -9,32 +9,31 @@
 	"topazmoor/internal/routing"
 )
 
-// Means is what a node has for the batches that it forms, as its settings say.
+// Means is the capacity of a node for forming batches, as configured.
 type Means struct {
-	// LinkBytes is what its network link carries in a second; 0 for unknown.
+	// LinkBytes is the capacity of the network link in bytes per second; 0 for unknown.
 	LinkBytes float64 `json:"link_bytes,omitempty"`
-	// Processors is how many processors it may use; 0 for unknown.
+	// Processors is the number of processors that the node may use; 0 for unknown.
 	Processors float64 `json:"processors,omitempty"`
 }
 
 const (
-	// orderBytes is what an order of six pieces takes on the link of the node that forms
-	// its batches: 500 bytes between the nodes (BenchmarkOrderOnTheLink of package peer),
-	// 300 bytes a piece in the calls of the targets, of which 255 name its inputs, and about a
-	// third for the heads of packets.
+	// orderBytes is the size on the former's network link of an order with six pieces: 500 bytes
+	// between the nodes, 300 bytes a piece in the calls to the targets, of which 255 name its
+	// inputs, and about a third more for packet headers.
 	orderBytes = 3000
-	// orderSeconds is the processor time of such an order with 670 targets
-	// (BenchmarkStagePools of package experiment).
+	// orderSeconds is the processor time of such an order with 670 targets.
 	orderSeconds = 0.0003
-	// classRatio is by how much the nodes of one class differ. Nodes of the same class take
-	// turns by hashing; a weaker class forms no batches while a stronger one is there: a node
-	// of 10 Mbit/s that formed the batches of two pools under 730 orders a second held all of
-	// them up for over 250 ms, while nodes of 200 Mbit/s stood beside it.
+	// classRatio is the factor by which a node may have less capacity than the strongest node
+	// and still belong to its class. Hashing distributes the services over the nodes of a class.
+	// A node of the weaker class forms no batches while one of the strongest class is available:
+	// a node with a 10 Mbit/s link that forms the batches of two pools at 730 orders a second
+	// delays all of them by over 250 ms.
 	classRatio = 4
 )
 
-// orders is how many orders a second a node of such means carries; 0 for unknown.
-func (m Means) orders() float64 {
+// ordersPerSecond returns the rate of orders that the node can handle; 0 for unknown.
+func (m Means) ordersPerSecond() float64 {
 	link, processors := m.LinkBytes/orderBytes, m.Processors/orderSeconds
 	if link == 0 || processors == 0 {
 		return max(link, processors)
@@ -42,26 +41,26 @@
 	return min(link, processors)
 }
 
-// rank sorts nodes into the order in which they form the batches of a service: the
-// strongest class first, and within it by rendezvous hashing. All nodes that know the same
-// ones agree on it.
-func rank(service string, nodes []Node) {
+// rankNodes sorts nodes into the order in which they form the batches of a service: the
+// strongest class first, and within each class by rendezvous hashing. All nodes that have the
+// same node list get the same order.
+func rankNodes(service string, nodes []Node) {
 	best := 0.0
 	for _, n := range nodes {
-		best = max(best, n.Means.orders())
+		best = max(best, n.Means.ordersPerSecond())
 	}
 	key := xxhash.Sum64String(service)
-	places := make(map[string]rankKey, len(nodes))
+	keys := make(map[string]rankKey, len(nodes))
 	for _, n := range nodes {
-		places[n.Name] = rankKey{weak: n.Means.orders()*classRatio < best, mix: routing.Mix(key, xxhash.Sum64String(n.Name))}
+		keys[n.Name] = rankKey{weak: n.Means.ordersPerSecond()*classRatio < best, hash: routing.Mix(key, xxhash.Sum64String(n.Name))}
 	}
-	slices.SortFunc(nodes, func(a, b Node) int { return places[a.Name].compare(places[b.Name]) })
+	slices.SortFunc(nodes, func(a, b Node) int { return keys[a.Name].compare(keys[b.Name]) })
 }
 
-// rankKey is what the rank of a node goes by.
+// rankKey is the sort key of a node.
 type rankKey struct {
 	weak bool
-	mix  uint64
+	hash uint64
 }
 
 func (p rankKey) compare(o rankKey) int {
@@ -71,5 +70,5 @@
 	case o.weak && !p.weak:
 		return -1
 	}
-	return cmp.Compare(o.mix, p.mix)
+	return cmp.Compare(o.hash, p.hash)
 }
--- a/internal/stagebatch/means_test.go
+++ b/internal/stagebatch/means_test.go
@@ -12,11 +12,11 @@
 	"pgregory.net/rapid"
 )
 
-// linkedNodes are nodes that form batches behind links: an order takes its time on the link
-// of its node, one after the other. It implements Remote.
+// linkedNodes are nodes that form batches behind network links. Each order occupies the link of
+// its node for the time of its transfer. It implements Remote.
 type linkedNodes struct {
 	mu sync.Mutex
-	// free is when the link of a node is free, by address.
+	// free is when the link of a node becomes free, by address.
 	free  map[string]time.Time
 	means map[string]Means
 }
@@ -43,7 +43,7 @@
 // Free implements Remote.
 func (l *linkedNodes) Free(context.Context, string, string, []string, bool) error { return nil }
 
-// fleetOf returns small nodes and large ones, as the entry hosts of a site are.
+// fleetOf returns large and small nodes, like the entry hosts of a site.
 func fleetOf(small, large int) (*linkedNodes, []Node) {
 	l := &linkedNodes{free: make(map[string]time.Time), means: make(map[string]Means)}
 	var nodes []Node
@@ -58,8 +58,8 @@
 	return l, nodes
 }
 
-// A burst of 730 orders a second comes to a pool of a fleet of 78 small nodes and 8 large
-// ones: no caller's order waits for a link, or goes round because it did.
+// A burst of 730 orders a second for one pool arrives at a fleet of 78 small and 8 large nodes.
+// No order is delayed by a saturated link or sent to a second node because of one.
 func TestBurstOfOrdersGoesToNodesThatCarryIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -71,13 +71,13 @@
 		for i := range routers {
 			self := nodes[len(nodes)-1-i]
 			others := nodes[:len(nodes)-len(routers)]
-			routers[i] = NewRouter(self, NewFormer(pool, list, poolSpec, quiet), remote, func() []Node { return others }, quiet)
+			routers[i] = NewRouter(self, NewFormer(pool, list, poolSpec, discardLog), remote, func() []Node { return others }, discardLog)
 		}
 		var all sync.WaitGroup
 		for i := range 730 * 3 {
 			all.Go(func() {
 				begin := time.Now()
-				_, err := routers[i%len(routers)].Produce(t.Context(), at(fmt.Sprint("r", i), 1, 0, 3*time.Second))
+				_, err := routers[i%len(routers)].Produce(t.Context(), orderDueIn(fmt.Sprint("r", i), 1, 0, 3*time.Second))
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil || time.Since(begin) > 50*time.Millisecond {
@@ -91,8 +91,8 @@
 	})
 }
 
-// All nodes agree on the order, whatever way they know the others; a weak node never comes
-// before a strong one, and nodes of one class share the services.
+// All nodes compute the same order of the nodes, whatever the order of their lists; a weak node
+// never comes before a strong one, and the services are spread over the nodes of a class.
 func TestRankOfFormers(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var nodes []Node
@@ -103,17 +103,17 @@
 			}})
 		}
 		other := rapid.Permutation(nodes).Draw(rt, "known")
-		rank("pool", nodes)
-		rank("pool", other)
+		rankNodes("pool", nodes)
+		rankNodes("pool", other)
 		best := 0.0
 		for i, n := range nodes {
 			if other[i] != n {
 				rt.Fatalf("%s and %s at place %d", n.Name, other[i].Name, i)
 			}
-			best = max(best, n.Means.orders())
+			best = max(best, n.Means.ordersPerSecond())
 		}
 		for i := 1; i < len(nodes); i++ {
-			if a, b := nodes[i-1].Means.orders(), nodes[i].Means.orders(); a*classRatio < best && b*classRatio >= best {
+			if a, b := nodes[i-1].Means.ordersPerSecond(), nodes[i].Means.ordersPerSecond(); a*classRatio < best && b*classRatio >= best {
 				rt.Fatalf("a node of %.0f orders a second comes before one of %.0f", a, b)
 			}
 		}
@@ -123,7 +123,7 @@
 		nodes[i].Name = fmt.Sprint("n", i)
 	}
 	for i := range 40 {
-		rank(fmt.Sprint("pool", i), nodes)
+		rankNodes(fmt.Sprint("pool", i), nodes)
 		firsts[nodes[0].Name] = true
 	}
 	qt.Assert(t, len(firsts) > 6, qt.IsTrue)
--- a/internal/stagebatch/pool.go
+++ b/internal/stagebatch/pool.go
@@ -13,25 +13,24 @@
 	"topazmoor/internal/targets"
 )
 
-// piece is one piece that waits for, or is in, a call.
+// piece is one piece of an order that is queued or in a call.
 type piece struct {
 	order *order
 	index int
-	// attempts counts the calls that held the piece.
+	// attempts counts the calls with this piece, without those that maxTries leaves out.
 	attempts int
-	// queued says that the piece is in the queue, read that a target has read
-	// its inputs.
+	// queued means that the piece is in the queue, read that a target has read its inputs.
 	queued, read bool
 }
 
-// begun reports whether earlier stages of the request were done.
+// begun reports whether the request has results of earlier stages.
 func (p *piece) begun() bool { return len(p.order.Inputs) > 0 }
 
-// order is an Order in work.
+// order is an Order in progress.
 type order struct {
 	Order
-	since time.Time
-	// seq tells orders apart that are due at the same time.
+	queuedAt time.Time
+	// seq breaks ties between orders that are due at the same time.
 	seq     uint64
 	handles []string
 	missing int
@@ -40,12 +39,13 @@
 	done   chan struct{}
 	err    error
 	ended  bool
-	// alone says that a target ended under the order: it is put into calls by itself, so that
-	// the others of its call are not taken for what ended the target.
-	alone bool
+	// isolated means that the order shares its calls with no other order: it runs under a
+	// quarantine probe, is suspect, or a target ended while it ran the order. Otherwise the
+	// other orders in its call would be suspected too if the target ended.
+	isolated bool
 }
 
-// finish ends an order once.
+// finish ends an order. Further calls have no effect.
 func (o *order) finish(err error) {
 	if o.ended {
 		return
@@ -54,100 +54,100 @@
 	close(o.done)
 }
 
-// held is a result that lies at its maker.
-type held struct {
+// storedResult is a result that is stored at its target.
+type storedResult struct {
 	bytes int64
 	until time.Time
 }
 
-// maker is what the former knows of one target of its pool.
-type maker struct {
+// targetState is the former's state of one target of its pool.
+type targetState struct {
 	targets.Target
-	// standing is what the target said of whether it takes work, opens when it may next be
-	// called if it rests.
+	// standing is the readiness that the target reported. opens is when it may be called again
+	// if it rests.
 	standing readiness.Standing
 	opens    time.Time
-	// calls is the number of this node's calls there.
+	// calls is the number of this node's calls in progress at the target.
 	calls int
-	// pausedUntil sets the target aside after it rejected or failed a call.
+	// pausedUntil is until when the target gets no calls after it rejected or failed one.
 	pausedUntil time.Time
-	// slowness is the recent time of its calls against the expected one; 0 until
-	// the first.
+	// slowness is the moving average of the ratio of actual to nominal call duration; 0 before
+	// the first call.
 	slowness float64
 	lastCall time.Time
 	permits
 	// callBytes is the size of the results of its last call.
 	callBytes int64
-	// soundAt is when a call last ended in its time and with all results; zero
-	// after one that did not.
-	soundAt  time.Time
-	failures int
-	results  map[string]held
-	// foreign is the room that results take which this former doesn't know of,
-	// made for another former, as it was last asked; it is believed until
-	// foreignUntil.
-	foreign      int64
+	// healthyAt is when a call last ended in time and not short of space for results; zero after
+	// a call that did not.
+	healthyAt time.Time
+	failures  int
+	results   map[string]storedResult
+	// foreignBytes is the space taken by results that this former did not request, as of the
+	// last query. The value is used until foreignUntil.
+	foreignBytes int64
 	foreignUntil time.Time
-	// asked says that the target was asked for its room at all, asking that it is being
-	// asked.
-	asked, asking bool
+	// queried means that the target's free space was queried at least once, querying that a
+	// query is in progress.
+	queried, querying bool
 }
 
 const (
-	// slowFactor is by how much a target may be slower than expected before it does not
-	// count in estimates.
+	// slowFactor is the slowness from which a target does not count in estimates.
 	slowFactor = 2.2
-	// slowProbe is how long after its last call a slow target is taken for a sound one.
+	// slowProbe is the time after its last call from which a slow target is tried as if it were
+	// not slow.
 	slowProbe = 2500 * time.Millisecond
-	// slownessWeight is the weight of the newest call: a server turns slow, and
-	// recovers, from one call to the next.
+	// slownessWeight is the weight of the newest call. It is high because a server turns slow,
+	// and recovers, from one call to the next.
 	slownessWeight = 0.5
-	// soundRatio is by how much a call that began at once may exceed its
-	// expected time; calls vary by a tenth.
-	soundRatio = 1.3
-	// soundLife is how long a target is taken as sound after such a call.
-	soundLife = 3 * time.Second
-	// foreignDoubt is the part of a target's room above which foreign results are looked
-	// at again when what is known of them is old.
-	foreignDoubt = 0.2
-	// askPause is how long a target is left alone while it is asked; a round trip is 1 to
-	// 3 ms.
-	askPause = 40 * time.Millisecond
-	// foreignLife is how long a foreign use of room is believed; such results
-	// lapse or are given up within seconds.
-	foreignLife = time.Second
-	// roomShare is the part of a target's room that is planned with; sizes are
-	// approximate.
-	roomShare = 0.96
+	// healthyRatio is the ratio of actual to nominal duration below which a call counts as in
+	// time, that is, as started at once. Calls vary by a tenth.
+	healthyRatio = 1.3
+	// healthyTTL is how long a target counts as healthy after such a call.
+	healthyTTL = 3 * time.Second
+	// foreignRequeryShare is the share of a target's space above which foreign results are
+	// queried again once the last figure has expired.
+	foreignRequeryShare = 0.2
+	// queryPause is how long a target is paused while its free space is queried. A round trip
+	// takes 1 to 3 ms.
+	queryPause = 40 * time.Millisecond
+	// foreignTTL is how long a figure of foreign results is used. Such results expire or are
+	// released within seconds.
+	foreignTTL = time.Second
+	// usableShare is the share of a target's space that is planned for. The rest allows for
+	// errors of the sizes, which are approximate.
+	usableShare = 0.96
 )
 
-// slow returns how many times slower than expected the target is.
-func (m *maker) slow() float64 {
+// slow returns the ratio of actual to nominal call duration; 1 if unknown.
+func (m *targetState) slow() float64 {
 	if m.slowness == 0 {
 		return 1
 	}
 	return m.slowness
 }
 
-// took notes how many times its expected time a call has taken.
-func (m *maker) took(ratio float64) {
+// recordRatio adds the ratio of actual to nominal duration of a call to the average.
+func (m *targetState) recordRatio(ratio float64) {
 	m.slowness = m.slow() + slownessWeight*(ratio-m.slow())
 }
 
-// sound reports whether a call that is sent now begins at once: the target has
-// lately worked for this former alone, and had room.
-func (m *maker) sound(now time.Time) bool { return now.Sub(m.soundAt) < soundLife }
+// healthy reports whether a call that is sent now starts at once: the last call of this former
+// ended recently, in time and without a lack of space.
+func (m *targetState) healthy(now time.Time) bool { return now.Sub(m.healthyAt) < healthyTTL }
 
-// overdue notes that a call goes on although its time has passed that often.
-func (m *maker) overdue(ratio float64) { m.slowness = max(m.slow(), ratio, slowFactor) }
+// overdue raises the slowness to the ratio that a call still in progress has reached, and at
+// least to slowFactor.
+func (m *targetState) overdue(ratio float64) { m.slowness = max(m.slow(), ratio, slowFactor) }
 
-// room returns the bytes that results may still take.
-func (m *maker) room(spec *routes.Batch, now time.Time) int64 {
-	left := int64(roomShare * float64(spec.RoomBytes))
+// freeBytes returns the space for further results.
+func (m *targetState) freeBytes(spec *routes.Batch, now time.Time) int64 {
+	left := int64(usableShare * float64(spec.RoomBytes))
 	if now.Before(m.foreignUntil) {
-		// The target itself has told it, so that nothing is kept free for the error of
+		// The target itself reported the figure, so no reserve is needed for errors of the
 		// sizes.
-		left = min(left, spec.RoomBytes-m.foreign)
+		left = min(left, spec.RoomBytes-m.foreignBytes)
 	}
 	for h, r := range m.results {
 		if now.After(r.until) {
@@ -159,24 +159,24 @@
 	return left
 }
 
-// doubtful reports whether it isn't known what lies at the target: it is new to this former,
-// or results of others took much of its room when it was last asked.
-func (m *maker) doubtful(spec *routes.Batch, now time.Time) bool {
-	if m.asking || spec.RoomBytes <= 0 {
+// spaceUnknown reports whether the target's free space must be queried: it was never queried, or
+// the last figure has expired and showed much space taken by foreign results.
+func (m *targetState) spaceUnknown(spec *routes.Batch, now time.Time) bool {
+	if m.querying || spec.RoomBytes <= 0 {
 		return false
 	}
 	old := now.After(m.foreignUntil)
-	return !m.asked || (old && float64(m.foreign) > foreignDoubt*float64(spec.RoomBytes))
+	return !m.queried || (old && float64(m.foreignBytes) > foreignRequeryShare*float64(spec.RoomBytes))
 }
 
-// tight reports whether the target's room may be short of its next call: it must hold
-// the results of its last call, which may still run, and of another one as large.
-func (m *maker) tight(spec *routes.Batch, now time.Time) bool {
-	return m.room(spec, now) < 2*m.callBytes
+// nearlyFull reports whether the target may lack space for its next call: for the results of its
+// last call, which may still run, and of another one of the same size.
+func (m *targetState) nearlyFull(spec *routes.Batch, now time.Time) bool {
+	return m.freeBytes(spec, now) < 2*m.callBytes
 }
 
-// held returns the bytes of the results that this former knows of.
-func (m *maker) held() int64 {
+// storedBytes returns the size of the results that this former knows of.
+func (m *targetState) storedBytes() int64 {
 	var sum int64
 	for _, r := range m.results {
 		sum += r.bytes
@@ -184,61 +184,62 @@
 	return sum
 }
 
-// free reports whether the target may be given a call now.
-func (m *maker) free(spec *routes.Batch, now time.Time) bool {
+// free reports whether the target may receive a call now.
+func (m *targetState) free(spec *routes.Batch, now time.Time) bool {
 	return m.idle(spec, now) && m.permitted(now)
 }
 
-// idle reports whether the target may be given a call, but for its rate.
-func (m *maker) idle(spec *routes.Batch, now time.Time) bool {
+// idle reports whether the target may receive a call, regardless of its rate limit.
+func (m *targetState) idle(spec *routes.Batch, now time.Time) bool {
 	return m.standing < readiness.Resting && m.calls < max(spec.Slots, 1) && !now.Before(m.pausedUntil)
 }
 
-// slower returns how many times slower than the fastest of a pool's targets this one is; 1
-// when it was not called for a while, to see whether it has recovered.
-func (m *maker) slower(makers map[string]*maker, now time.Time) float64 {
+// slower returns the ratio of this target's slowness to that of the fastest target in the pool.
+// It returns 1 if the target's last call is older than slowProbe, so that a call can show
+// whether the target has recovered.
+func (m *targetState) slower(states map[string]*targetState, now time.Time) float64 {
 	if now.Sub(m.lastCall) > slowProbe {
 		return 1
 	}
 	fastest := m.slow()
-	for _, other := range makers {
+	for _, other := range states {
 		fastest = min(fastest, other.slow())
 	}
 	return m.slow() / fastest
 }
 
-// expected returns the time of a call with n items.
+// expected returns the nominal duration of a call with n items.
 func expected(spec *routes.Batch, n int) time.Duration {
 	return spec.CallTime + time.Duration(n)*spec.ItemTime
 }
 
 const (
-	// headStart is how much sooner than it is due the turn of an order comes for each rank
-	// that it is more urgent. It answers bursts that ask a pool for more than it can make, for
-	// some seconds: by strict ranks the least urgent kind bears all that is missing, and its
-	// results lapse while it waits; without any, urgent orders come late as often as others.
-	// Accounts differ by as many ranks as routes have priorities, so that their steps are longer.
-	headStart = 150 * time.Millisecond
-	// placeStart is how much sooner the turn of an order comes that wishes for the place of the
-	// target: less than a rank, and about the time in which the next target is free.
-	placeStart = 100 * time.Millisecond
+	// rankStep is how much later an order is scheduled for each rank that it is less urgent. It
+	// matters in bursts that exceed the pool's rate for some seconds. With strict ranks the
+	// least urgent orders bear the whole shortage, and their results expire while they wait.
+	// Without ranks, urgent orders are late as often as others. One step of an account's
+	// priority is as many ranks as routes have priorities, and so a longer time.
+	rankStep = 150 * time.Millisecond
+	// dataCentreLead is how much earlier an order is scheduled if it prefers the data centre of
+	// the target: less than one rank, and about the time until the next target is free.
+	dataCentreLead = 100 * time.Millisecond
 )
 
-// turn is when an order's turn comes among those that can meet their objective.
-func (pl place) turn(o *order) time.Time {
-	turn := o.Due
+// scheduledAt returns the time by which orders that can meet their objective are sorted.
+func (pl placement) scheduledAt(o *order) time.Time {
+	scheduledAt := o.Due
 	if !pl.off.Has(mechanism.Ranks) {
-		turn = turn.Add(time.Duration(o.Priority) * headStart)
+		scheduledAt = scheduledAt.Add(time.Duration(o.Priority) * rankStep)
 	}
-	if pl.wished(o) {
-		turn = turn.Add(-placeStart)
+	if pl.preferred(o) {
+		scheduledAt = scheduledAt.Add(-dataCentreLead)
 	}
-	return turn
+	return scheduledAt
 }
 
-// before orders pieces: those that can still meet their objective first, then by their
-// turns.
-func before(a, b *piece, late time.Time, pl place) int {
+// before compares two pieces: those that can still meet their objective come first, then the one
+// scheduled earlier.
+func before(a, b *piece, late time.Time, pl placement) int {
 	aLate, bLate := a.order.Due.Before(late), b.order.Due.Before(late)
 	switch {
 	case aLate && !bLate:
@@ -246,27 +247,28 @@
 	case bLate && !aLate:
 		return -1
 	}
-	return cmp.Or(pl.turn(a.order).Compare(pl.turn(b.order)), cmp.Compare(a.order.seq, b.order.seq))
+	return cmp.Or(pl.scheduledAt(a.order).Compare(pl.scheduledAt(b.order)), cmp.Compare(a.order.seq, b.order.seq))
 }
 
-// take removes the next batch for a target from the queue: of the orders that
-// fit, the first ones. Orders that ended are dropped; those that have no room,
-// or that do not fit, wait. An order's pieces go into one batch where they can:
-// the results of a half-made order take room and serve nobody.
-func take(queue []*piece, spec *routes.Batch, room int64, now time.Time, pl place) (batch, rest []*piece) {
+// take removes the next batch for a target from the queue: the first orders that fit. It drops
+// orders that have ended and fails those that cannot be complete by their deadline. Orders that
+// do not fit stay queued. The pieces of an order go into one batch if possible, as the results
+// of an incomplete order take space without being of use.
+func take(queue []*piece, spec *routes.Batch, space int64, now time.Time, pl placement) (batch, rest []*piece) {
 	size := max(spec.Items, 1)
-	// Of a long queue each call is full: who has less time than that takes is late.
+	// With a long queue each call is full, so an order is late if it is due before a full call
+	// ends.
 	soonest, late := now.Add(expected(spec, 1)), now.Add(expected(spec, min(size, len(queue))))
 	slices.SortStableFunc(queue, func(a, b *piece) int { return before(a, b, late, pl) })
 	full := false
-	fullRoom := int64(roomShare * float64(spec.RoomBytes))
+	fullSpace := int64(usableShare * float64(spec.RoomBytes))
 	for len(queue) > 0 {
 		var group []*piece
 		group, queue = nextGroup(queue)
 		o := group[0].order
 		n := len(group)
-		if pl.off.Has(mechanism.WholeOrders) || n > size || n > fitting(o, fullRoom) || now.Sub(o.since) > splitAfter {
-			n = min(n, size-len(batch), fitting(o, room))
+		if pl.off.Has(mechanism.WholeOrders) || n > size || n > fitting(o, fullSpace) || now.Sub(o.queuedAt) > splitAfter {
+			n = min(n, size-len(batch), fitting(o, space))
 		}
 		switch {
 		case o.ended:
@@ -274,13 +276,13 @@
 		case o.Deadline.Before(soonest):
 			dequeue(group)
 			o.finish(ErrLate)
-		case full || o.alone && len(batch) > 0:
+		case full || o.isolated && len(batch) > 0:
 			rest = append(rest, group...)
-		case n > 0 && len(batch)+n <= size && int64(n)*o.ResultBytes <= room && pl.takes(o, spec, now) && pl.inTime(o, expected(spec, n), now):
-			room -= int64(n) * o.ResultBytes
+		case n > 0 && len(batch)+n <= size && int64(n)*o.ResultBytes <= space && pl.accepts(o, spec, now) && pl.inTime(o, expected(spec, n), now):
+			space -= int64(n) * o.ResultBytes
 			dequeue(group[:n])
 			batch = append(batch, group[:n]...)
-			full = o.alone
+			full = o.isolated
 			rest = append(rest, group[n:]...)
 		default:
 			rest = append(rest, group...)
@@ -289,20 +291,19 @@
 	return batch, rest
 }
 
-// splitAfter is how long an order waits for a target that takes all of its
-// pieces; then it takes what there is, so that smaller orders do not pass it for
-// ever. About the time of a call and a half.
+// splitAfter is how long an order waits for a target that takes all its pieces, about one and a
+// half calls. After that it is split, so that smaller orders do not overtake it forever.
 const splitAfter = 500 * time.Millisecond
 
-// fitting returns how many results of an order fit into some room.
-func fitting(o *order, room int64) int {
+// fitting returns how many results of an order fit into the given space.
+func fitting(o *order, space int64) int {
 	if o.ResultBytes <= 0 {
 		return math.MaxInt32
 	}
-	return int(max(room, 0) / o.ResultBytes)
+	return int(max(space, 0) / o.ResultBytes)
 }
 
-// nextGroup splits the first pieces off that belong to one order.
+// nextGroup splits off the leading pieces that belong to one order.
 func nextGroup(queue []*piece) (group, rest []*piece) {
 	n := 1
 	for n < len(queue) && queue[n].order == queue[0].order {
@@ -318,67 +319,65 @@
 }
 
 const (
-	// holdShare is the part of its slack that an order waits for a target in the
-	// data centre that it wishes for, holdMost bounds it: about a call's time, in
-	// which such a target comes free.
+	// holdShare is the share of its slack that an order waits for a target in its preferred data
+	// centre, at most holdMost. That is about the duration of a call, within which such a target
+	// becomes free.
 	holdShare = 0.4
 	holdMost  = 350 * time.Millisecond
-	// holdQueue is the number of waiting pieces, as a share of what all targets
-	// take in one call each, above which nobody waits for a place: the pool is
-	// short of calls then.
+	// holdQueue is the number of queued pieces, relative to one full call at each target, above
+	// which orders do not wait for their preferred data centre: the pool is short of calls then.
 	holdQueue = 1.0
 )
 
-// place is where a target stands that is free, as orders see it.
-type place struct {
+// placement describes a free target for the decision which orders it may take.
+type placement struct {
 	dataCentre string
-	// regions gives the region of each data centre.
+	// regions maps each data centre to its region.
 	regions region.Map
-	// working are the data centres that have a target; nil when it does not matter
-	// where a target stands.
+	// working are the data centres that have a target; nil if the data centre does not matter.
 	working map[string]bool
-	// hold says that orders wait for a while for the data centre that they wish for.
+	// hold means that orders wait for a while for their preferred data centre.
 	hold bool
-	// slower is how many times slower than others the target is.
+	// slower is how many times slower than the fastest target the target is.
 	slower float64
-	// off are the mechanisms that an experiment switches off.
+	// off are the mechanisms that an experiment disables.
 	off mechanism.Set
 }
 
-// placeOf returns the place of a target.
-func (f *Former) placeOf(p *pool, m *maker, working map[string]bool, spec *routes.Batch, now time.Time) place {
-	most := holdQueue * float64((len(p.makers)+p.working.spares())*max(spec.Items, 1))
+// placementOf returns the placement of a target.
+func (f *Former) placementOf(p *pool, m *targetState, working map[string]bool, spec *routes.Batch, now time.Time) placement {
+	most := holdQueue * float64((len(p.states)+p.working.unusedTargets())*max(spec.Items, 1))
 	hold := float64(len(p.queue)) <= most && !f.Off.Has(mechanism.WaitForPlace)
-	pl := place{dataCentre: m.DataCentre, regions: f.Regions, working: working, hold: hold, slower: 1, off: f.Off}
+	pl := placement{dataCentre: m.DataCentre, regions: f.Regions, working: working, hold: hold, slower: 1, off: f.Off}
 	if !f.Off.Has(mechanism.SlowTargets) {
-		pl.slower = m.slower(p.makers, now)
+		pl.slower = m.slower(p.states, now)
 	}
 	return pl
 }
 
-// dataCentres lists where the pool's targets stand.
+// dataCentres returns the data centres that have targets of the pool.
 func (p *pool) dataCentres() map[string]bool {
 	out := make(map[string]bool)
-	for _, m := range p.makers {
+	for _, m := range p.states {
 		out[m.DataCentre] = true
 	}
-	for place := range p.working.spare {
+	for place := range p.working.unused {
 		out[place] = true
 	}
 	return out
 }
 
-// wished reports whether an order wishes for this place, or for none, or for one where
-// no target works.
-func (pl place) wished(o *order) bool {
+// preferred reports whether an order prefers this data centre, has no preference, or prefers a
+// data centre without a target.
+func (pl placement) preferred(o *order) bool {
 	return o.DataCentre == pl.dataCentre || !pl.working[o.DataCentre]
 }
 
-// inTime reports whether an order may be made here for all that the target is slow: a
-// sound target would be too late for it as well, or this one is in time. takes is the
-// time that a sound one takes.
-func (pl place) inTime(o *order, takes time.Duration, now time.Time) bool {
-	if pl.slower < soundRatio {
+// inTime reports whether a slow target may take an order: either the order would be late at a
+// healthy target too and this one meets its deadline, or this one meets its due time. takes is
+// the duration at a healthy target.
+func (pl placement) inTime(o *order, takes time.Duration, now time.Time) bool {
+	if pl.slower < healthyRatio {
 		return true
 	}
 	due := o.Due
@@ -388,15 +387,15 @@
 	return !due.Before(now.Add(times(takes, pl.slower)))
 }
 
-// takes reports whether an order may be made here: its regions allow it, and it wishes so, or has
-// waited for its own place for long enough.
-func (pl place) takes(o *order, spec *routes.Batch, now time.Time) bool {
+// accepts reports whether an order may run at the target: its regions allow it, and it prefers
+// the target's data centre or has waited long enough for its own.
+func (pl placement) accepts(o *order, spec *routes.Batch, now time.Time) bool {
 	if !pl.regions.Allows(o.Regions, pl.dataCentre) {
 		return false
 	}
-	if !pl.hold || pl.wished(o) {
+	if !pl.hold || pl.preferred(o) {
 		return true
 	}
-	slack := o.Due.Sub(o.since) - expected(spec, o.Pieces)
-	return now.Sub(o.since) >= min(times(slack, holdShare), holdMost)
+	slack := o.Due.Sub(o.queuedAt) - expected(spec, o.Pieces)
+	return now.Sub(o.queuedAt) >= min(times(slack, holdShare), holdMost)
 }
--- a/internal/stagebatch/room.go
+++ b/internal/stagebatch/room.go
@@ -9,97 +9,101 @@
 )
 
 const (
-	// freePause gathers results to be given up, so that one call frees many.
-	freePause = 15 * time.Millisecond
-	// freeTimeout bounds a call that gives up results; they lapse anyhow.
-	freeTimeout = time.Second
+	// releaseDelay is how long results to be released are collected, so that one call releases
+	// many.
+	releaseDelay = 15 * time.Millisecond
+	// releaseTimeout bounds a call that releases results or queries free space. Results that are
+	// not released expire.
+	releaseTimeout = time.Second
 )
 
-// askDoubtful asks the targets of which it isn't known what lies there, and leaves them
-// alone meanwhile. A former that begins would otherwise find out by calls that make
-// nothing. The lock is held.
-func (f *Former) askDoubtful(service string, p *pool, spec *routes.Batch, now time.Time) {
-	for _, m := range p.makers {
-		if m.standing >= readiness.Resting || m.bounded || !m.doubtful(spec, now) {
+// queryUnknownSpace queries the free space of the targets whose use of space is unknown, and
+// pauses these targets meanwhile. Otherwise a new former would find full targets only by calls
+// that produce nothing. The lock is held.
+func (f *Former) queryUnknownSpace(service string, p *pool, spec *routes.Batch, now time.Time) {
+	for _, m := range p.states {
+		if m.standing >= readiness.Resting || m.bounded || !m.spaceUnknown(spec, now) {
 			continue
 		}
-		m.asking = true
-		if pause := now.Add(askPause); pause.After(m.pausedUntil) {
+		m.querying = true
+		if pause := now.Add(queryPause); pause.After(m.pausedUntil) {
 			m.pausedUntil = pause
 		}
-		go f.askRoom(service, m, m.Addr, spec)
+		go f.querySpace(service, m, m.Addr, spec)
 	}
 }
 
-// askRoom asks a target how much room for results it has: results lie there that another
-// former, or this node before its restart, had made.
-func (f *Former) askRoom(service string, m *maker, addr string, spec *routes.Batch) {
-	ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
+// querySpace queries a target's free space for results. The target may hold results produced for
+// another former, or for this node before a restart.
+func (f *Former) querySpace(service string, m *targetState, addr string, spec *routes.Batch) {
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	free, err := f.worker.Room(ctx, addr)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m.asked, m.asking = true, false
+	m.queried, m.querying = true, false
 	if err != nil {
-		f.log.Info("room of target not known", "service", service, "target", m.ID, "err", err)
+		f.log.Info("free space query failed", "service", service, "target", m.ID, "err", err)
 		return
 	}
 	now := time.Now()
-	m.foreign = max(spec.RoomBytes-free-m.held(), 0)
+	m.foreignBytes = max(spec.RoomBytes-free-m.storedBytes(), 0)
 	if free > 0 && now.After(m.foreignUntil) && m.pausedUntil.Before(now.Add(busyPause)) {
-		// It takes smaller calls at once. One that turns those away too is left alone, and
-		// so is one that fails.
+		// The target can take smaller calls at once. It stays paused if the previous figure is
+		// still valid, as even a call that fitted that figure was rejected, or if a failed call
+		// has paused it for longer.
 		m.pausedUntil = now
 	}
-	m.foreignUntil = now.Add(foreignLife)
-	f.log.Info("room of target", "service", service, "target", m.ID, "free", free, "held", m.held(), "foreign", m.foreign)
+	m.foreignUntil = now.Add(foreignTTL)
+	f.log.Info("target free space", "service", service, "target", m.ID, "free", free, "held", m.storedBytes(), "foreign", m.foreignBytes)
 	f.pump(service, f.pool(service), spec)
 }
 
-// giveUp frees results at their makers, shortly after, together with others.
-// The lock is held.
-func (f *Former) giveUp(service string, handles []string) {
+// release releases results at the targets that hold them, after a short delay and together with
+// others. The lock is held.
+func (f *Former) release(service string, handles []string) {
 	for _, h := range handles {
 		if h == "" {
 			continue
 		}
 		addr := f.worker.Maker(h)
-		if len(f.freeing[addr]) == 0 {
-			time.AfterFunc(freePause, func() { f.freeNow(service, addr) })
+		if len(f.releasing[addr]) == 0 {
+			time.AfterFunc(releaseDelay, func() { f.sendRelease(service, addr) })
 		}
-		f.freeing[addr] = append(f.freeing[addr], h)
+		f.releasing[addr] = append(f.releasing[addr], h)
 	}
 }
 
-// freeNow makes the call that frees results. Their room is counted as free
-// once the maker has answered.
-func (f *Former) freeNow(service, addr string) {
+// sendRelease makes the call that releases the collected results of a target. Their space counts
+// as free only after the target has replied.
+func (f *Former) sendRelease(service, addr string) {
 	if wait := f.list.RestAt(addr); wait > 0 {
-		// It wants nothing now; what is gathered meanwhile goes with it.
-		time.AfterFunc(wait, func() { f.freeNow(service, addr) })
+		// The target has requested a pause. Handles that are collected meanwhile are released by
+		// the same call.
+		time.AfterFunc(wait, func() { f.sendRelease(service, addr) })
 		return
 	}
-	if !f.permitsFreeing(service, addr) {
+	if !f.mayRelease(service, addr) {
 		return
 	}
 	f.mu.Lock()
-	handles := f.freeing[addr]
-	delete(f.freeing, addr)
+	handles := f.releasing[addr]
+	delete(f.releasing, addr)
 	f.mu.Unlock()
 	if f.list.Drained(addr) {
-		f.log.Info("results not given up, they lapse: their data centre is drained", "addr", addr, "results", len(handles))
+		f.log.Info("results not released, data centre is drained", "addr", addr, "results", len(handles))
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	if err := f.worker.Free(ctx, addr, handles); err != nil {
-		f.log.Info("results not given up, they lapse", "addr", addr, "results", len(handles), "err", err)
+		f.log.Info("release of results failed", "addr", addr, "results", len(handles), "err", err)
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p := f.pool(service)
-	for _, m := range p.makers {
+	for _, m := range p.states {
 		for _, h := range handles {
 			delete(m.results, h)
 		}
--- a/internal/stagebatch/room_test.go
+++ b/internal/stagebatch/room_test.go
@@ -13,16 +13,16 @@
 	_ "topazmoor/internal/standin/fixedseed"
 )
 
-// A former that had restarted believed that all room was free, and each call
-// that found none cost its whole time.
+// Guards against a restarted former that assumes that all space is free. Calls that find no
+// space take their whole duration and produce nothing.
 func TestRoomTakenByOthersIsAskedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		p, list := newFakePool(2)
-		p.host(0).room = 0
-		f := NewFormer(p, list, poolSpec, quiet)
+		p.host(0).space = 0
+		f := NewFormer(p, list, poolSpec, discardLog)
 		for i := range 8 {
-			res, err := f.Produce(t.Context(), at(fmt.Sprint("r", i), 1, 0, time.Second), nil)
+			res, err := f.Produce(t.Context(), orderDueIn(fmt.Sprint("r", i), 1, 0, time.Second), nil)
 			c.Assert(err, qt.IsNil)
 			f.Free("pool", res.Handles)
 		}
@@ -30,38 +30,38 @@
 	})
 }
 
-// Four calls that found no room made an order fail.
+// An order does not fail when its calls find no space, however many there are.
 func TestOrderWaitsForRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		p, list := newFakePool(1)
-		p.host(0).room = 0
-		f := NewFormer(p, list, poolSpec, quiet)
+		p.host(0).space = 0
+		f := NewFormer(p, list, poolSpec, discardLog)
 		time.AfterFunc(5*time.Second, func() {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.host(0).room = 1 << 20
+			p.host(0).space = 1 << 20
 		})
-		_, err := f.Produce(t.Context(), at("waits", 2, 0, time.Second), nil)
+		_, err := f.Produce(t.Context(), orderDueIn("waits", 2, 0, time.Second), nil)
 		c.Assert(err, qt.IsNil)
 	})
 }
 
-// Where two formers share a pool a call may wait at its target for longer than the
-// inputs were kept; they were gone, and all stages ran again.
+// Where two formers share a pool, a call may wait at its target for longer than the inputs are
+// usually kept. If the inputs are released meanwhile, all stages run again.
 func TestInputsOfASharedPoolAreKeptUntilTheCallEnds(t *testing.T) {
 	for others, early := range map[int]bool{0: true, 1: false} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
 			p, list := newFakePool(1)
 			p.host(0).others = others
-			f := NewFormer(p, list, poolSpec, quiet)
+			f := NewFormer(p, list, poolSpec, discardLog)
 			start := time.Now()
-			// read and ended are times since the start.
+			// read and ended are times since start.
 			var read atomic.Int64
 			var ended time.Duration
 			for i := range 2 {
-				o := at(fmt.Sprint("r", i), 2, 0, time.Second)
+				o := orderDueIn(fmt.Sprint("r", i), 2, 0, time.Second)
 				o.InputsRead = func() { read.Store(int64(time.Since(start))) }
 				res, err := f.Produce(t.Context(), o, nil)
 				c.Assert(err, qt.IsNil)
@@ -75,36 +75,37 @@
 	}
 }
 
-// A target without room answers at once. It was taken for a fast one, and called first.
+// Guards against a target without space that counts as fast because it replies at once, and is
+// then called first.
 func TestTargetWithoutRoomIsNotTakenForAFastOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		pool, list := newFakePool(1)
 		for _, h := range pool.hosts {
-			h.room = 0
+			h.space = 0
 		}
-		f := NewFormer(pool, list, poolSpec, quiet)
+		f := NewFormer(pool, list, poolSpec, discardLog)
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
 		_, err := f.Produce(ctx, rankedOrder("r", 0, 2), nil)
 		c.Assert(err, qt.IsNotNil)
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		for _, m := range f.pools["pool"].makers {
+		for _, m := range f.pools["pool"].states {
 			c.Assert(m.slow() > 0.9, qt.IsTrue, qt.Commentf("%.3f", m.slow()))
 		}
 	})
 }
 
-// left returns how many results lie at a host.
-func (p *fakePool) left(host int) int {
+// stored returns the number of results at a host.
+func (p *fakePool) stored(host int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.host(host).results)
 }
 
-// Results that were read were given up at once, though their reader could still fail: its
-// piece was made again from results that were gone, and all stages of the request ran again.
+// Guards against releasing results as soon as they are read. If the stage that read them fails,
+// its piece must be produced again from them; without them all stages of the request run again.
 func TestReadResultsAreGivenUpOnlyWhereRoomIsShort(t *testing.T) {
 	for _, tc := range []struct {
 		pieces int
@@ -113,42 +114,42 @@
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
 			p, list := newFakePool(1)
-			f := NewFormer(p, list, poolSpec, quiet)
-			res, err := f.Produce(t.Context(), at("r", tc.pieces, 0, time.Second), nil)
+			f := NewFormer(p, list, poolSpec, discardLog)
+			res, err := f.Produce(t.Context(), orderDueIn("r", tc.pieces, 0, time.Second), nil)
 			c.Assert(err, qt.IsNil)
 			f.FreeIfTight("pool", res.Handles)
 			time.Sleep(time.Second)
-			left := p.left(0)
-			c.Assert(left == tc.pieces, qt.Equals, tc.kept, qt.Commentf("%d results of %d left", left, tc.pieces))
-			// The end of their reader gives them up in any case.
+			stored := p.stored(0)
+			c.Assert(stored == tc.pieces, qt.Equals, tc.kept, qt.Commentf("%d results of %d left", stored, tc.pieces))
+			// They are released in any case when the stage that read them ends.
 			f.Free("pool", res.Handles)
 			time.Sleep(time.Second)
-			c.Assert(p.left(0), qt.Equals, 0)
+			c.Assert(p.stored(0), qt.Equals, 0)
 		})
 	}
 }
 
-// A tenth of a target's room was kept free for the error of sizes also when the target had
-// told what is free: after a restart, when results of the processes before it take nearly
-// all room, that tenth is most of what there is.
-func TestRoomThatATargetToldIsUsedWhole(t *testing.T) {
+// If the target itself has reported its free space, no share is reserved for errors of the
+// sizes. After a restart, results for earlier processes may take nearly all space, and the
+// reserve would be most of the rest.
+func TestReportedFreeSpaceIsUsedCompletely(t *testing.T) {
 	c := qt.New(t)
 	now := time.Date(2026, 3, 5, 0, 0, 0, 0, time.UTC)
 	spec := poolSpec("")
-	m := &maker{foreign: spec.RoomBytes - testResultBytes, foreignUntil: now.Add(time.Second)}
-	c.Assert(m.room(spec, now), qt.Equals, int64(testResultBytes))
+	m := &targetState{foreignBytes: spec.RoomBytes - testResultBytes, foreignUntil: now.Add(time.Second)}
+	c.Assert(m.freeBytes(spec, now), qt.Equals, int64(testResultBytes))
 }
 
-// A former that begins does not know what lies at its targets: calls that make nothing told
-// it, while their orders waited.
+// A new former queries the free space of its targets before it calls them. Otherwise calls that
+// produce nothing find out, while their orders wait.
 func TestNewFormerAsksForRoomBeforeItsFirstCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		p, list := newFakePool(2)
-		p.host(0).room = 0
-		f := NewFormer(p, list, poolSpec, quiet)
+		p.host(0).space = 0
+		f := NewFormer(p, list, poolSpec, discardLog)
 		start := time.Now()
-		res, err := f.Produce(t.Context(), at("r", 2, 0, time.Second), nil)
+		res, err := f.Produce(t.Context(), orderDueIn("r", 2, 0, time.Second), nil)
 		c.Assert(err, qt.IsNil)
 		f.Free("pool", res.Handles)
 		c.Assert(p.host(0).calls, qt.Equals, 0)
--- a/internal/stagebatch/router.go
+++ b/internal/stagebatch/router.go
@@ -10,50 +10,49 @@
 	"topazmoor/internal/region"
 )
 
-// Node is another node that may form batches.
+// Node is a node that may form batches.
 type Node struct {
-	// Name is unique, Addr is where the node takes calls.
+	// Name is unique. Addr is the address at which the node accepts calls.
 	Name, Addr string
-	// DataCentre is where the node stands.
+	// DataCentre is the data centre of the node.
 	DataCentre string
-	// Means is what the node has for the batches that it forms.
+	// Means is the capacity of the node for forming batches.
 	Means Means
 }
 
-// Remote makes orders at other nodes; package peer has the real one.
+// Remote runs orders at other nodes. The production implementation is in package peer.
 type Remote interface {
-	// Produce runs an order at the node at addr. accepted is called with the waits of
-	// the node's pool when the node has taken the order, and again and again while it
-	// works on it, never twice at a time. The error is one of this package's, or
-	// another one when the node did not answer or refused.
+	// Produce runs an order at the node at addr. It calls accepted with the waits of the node's
+	// pool when the node has accepted the order, and periodically while the order is in
+	// progress, never concurrently. The error is one of this package, or another one if the node
+	// did not reply or refused the order.
 	Produce(ctx context.Context, addr string, o Order, accepted func(Waits)) (Result, error)
-	// Free gives up results at the node that formed their batches, with ifTight only
-	// where room is short.
+	// Free releases results at the node that formed their batches. With ifTight it releases only
+	// those at nearly full targets.
 	Free(ctx context.Context, addr, service string, handles []string, ifTight bool) error
 }
 
 const (
-	// acceptTimeout is how long a node may take to accept an order: a round
-	// trip is 1 to 2 ms, and a busy node is held up for some tens of ms.
+	// acceptTimeout is how long a node may take to accept an order. A round trip takes 1 to 2
+	// ms, and a busy node is delayed by some tens of ms.
 	acceptTimeout = 250 * time.Millisecond
-	// silenceTimeout is how long a node that works on an order may say nothing.
-	// It says so four times a second; a slowed host may miss one time. It must
-	// not depend on how long the order takes: when orders of a slow pool are
-	// given up, they go to other nodes too, each piece is produced several
-	// times, and the pool gets slower still.
+	// silenceTimeout is the maximum time between two messages of a node that works on an order.
+	// The node sends four a second, and on a slowed host one may be missed. The timeout must not
+	// depend on the duration of the order: cancelled orders of a slow pool are sent to other
+	// nodes as well, so that each piece is produced several times and the pool gets even slower.
 	silenceTimeout = 900 * time.Millisecond
-	// suspectFor is how long a node that did not answer is passed over. Frozen
-	// and restarted processes are back after a few seconds.
+	// suspectFor is how long a node that did not respond gets no orders. Frozen and restarted
+	// processes are back after a few seconds.
 	suspectFor = 2 * time.Second
-	// maxNodes is how many other nodes are tried before this node forms its
-	// own batch.
+	// maxNodes is the number of other nodes that are tried before this node forms the batches
+	// itself.
 	maxNodes = 2
-	// estimateLife is how long the estimate of a pool is believed.
-	estimateLife = time.Second
+	// estimateTTL is how long the reported waits of a pool are used.
+	estimateTTL = time.Second
 )
 
-// Router sends orders to the node that forms the batches of their pool. It is
-// safe for concurrent use.
+// Router sends orders to the node that forms the batches of their pool. It is safe for
+// concurrent use.
 type Router struct {
 	self   Node
 	local  *Former
@@ -63,37 +62,37 @@
 
 	mu       sync.Mutex
 	suspects map[string]time.Time
-	waits    map[waitsKey]told
+	waits    map[waitsKey]reportedWaits
 	stopping bool
 }
 
-// waitsKey names a pool as a former sees it: work that may be done in some regions only has a
-// former there.
+// waitsKey identifies a pool and a set of regions. Orders that are restricted to some regions go
+// to a former in these regions, so waits are kept for each set.
 type waitsKey struct{ service, regions string }
 
-// told is what the former of a pool said of the time that pieces wait.
-type told struct {
+// reportedWaits are the waits of a pool as its former last reported them.
+type reportedWaits struct {
 	waits Waits
 	at    time.Time
 }
 
-// NewRouter returns a Router of the node self. nodes lists the other nodes.
+// NewRouter returns the Router of the node self. nodes returns the other nodes.
 func NewRouter(self Node, local *Former, remote Remote, nodes func() []Node, log *slog.Logger) *Router {
 	return &Router{
 		self: self, local: local, remote: remote, nodes: nodes, log: log,
-		suspects: make(map[string]time.Time), waits: make(map[waitsKey]told),
+		suspects: make(map[string]time.Time), waits: make(map[waitsKey]reportedWaits),
 	}
 }
 
-// Stop makes the Router send new orders to other nodes where there are any.
+// Stop makes the Router send new orders to other nodes if there are any.
 func (r *Router) Stop() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stopping = true
 }
 
-// ranked returns the nodes in some regions that are not suspect, in the order in which they form
-// the batches of a service.
+// ranked returns the nodes in the given regions that are not suspect, in the order in which they
+// form the batches of a service.
 func (r *Router) ranked(service string, in region.Set) []Node {
 	now := time.Now()
 	all := r.nodes()
@@ -109,11 +108,11 @@
 		out = append(out, n)
 	}
 	r.mu.Unlock()
-	rank(service, out)
+	rankNodes(service, out)
 	return out
 }
 
-// Live returns how many nodes take part, this one included.
+// Live returns the number of nodes that are not suspect, including this one.
 func (r *Router) Live() int {
 	now := time.Now()
 	n := 1
@@ -128,7 +127,7 @@
 	return n
 }
 
-// Produce runs an order at the first node that takes it.
+// Produce runs an order at the first node that accepts it.
 func (r *Router) Produce(ctx context.Context, o Order) (Result, error) {
 	for i, n := range r.ranked(o.Service, o.Regions) {
 		if n.Name == r.self.Name || i >= maxNodes {
@@ -138,14 +137,14 @@
 		if err == nil || r.final(o, err) || ctx.Err() != nil {
 			return res, err
 		}
-		r.suspect(n, o, err)
+		r.markSuspect(n, o, err)
 	}
-	return r.local.Produce(ctx, o, func(w Waits) { r.note(o, w) })
+	return r.local.Produce(ctx, o, func(w Waits) { r.recordWaits(o, w) })
 }
 
-// final reports whether another node would give the same answer. A node that knows no target
-// of a pool which this one knows has just started: a loss of all nodes is over sooner where
-// its orders go on to the next.
+// final reports whether an error is the same at every node. ErrNoTarget of a node is not final
+// if this node has a target of the pool: the other node has just started. Sending the order to
+// the next node shortens the recovery from a loss of all nodes.
 func (r *Router) final(o Order, err error) bool {
 	if errors.Is(err, ErrNoTarget) {
 		return !r.local.knowsTarget(o.Service, o.Regions)
@@ -158,12 +157,11 @@
 	return false
 }
 
-// ErrSilent is the cause of the end of a call to a node that said nothing for too
-// long.
-var ErrSilent = errors.New("stagebatch: the node fell silent")
+// ErrSilent is the cancellation cause of a call to a node that sent no message within the
+// timeout.
+var ErrSilent = errors.New("stagebatch: no message from the node within the timeout")
 
-// produceAt runs an order at another node and gives it up when the node falls
-// silent.
+// produceAt runs an order at another node and cancels it if the node sends no message in time.
 func (r *Router) produceAt(ctx context.Context, n Node, o Order) (Result, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -173,7 +171,7 @@
 	go func() {
 		res, err := r.remote.Produce(ctx, n.Addr, o, func(w Waits) {
 			watchdog.Reset(silenceTimeout)
-			r.note(o, w)
+			r.recordWaits(o, w)
 		})
 		res.Former = n.Addr
 		done <- outcome{res, err}
@@ -185,39 +183,39 @@
 		}
 		return out.res, out.err
 	case <-ctx.Done():
-		// The call itself may be held up by a connection that takes nothing more.
-		go r.freeLate(o.Service, done)
+		// The call itself may be blocked on a stalled connection.
+		go r.releaseLate(o.Service, done)
 		return Result{}, context.Cause(ctx)
 	}
 }
 
-// outcome is the end of an order at another node.
+// outcome is the result or error of an order at another node.
 type outcome struct {
 	res Result
 	err error
 }
 
-// freeLate gives up the results of an order that was given up meanwhile.
-func (r *Router) freeLate(service string, done <-chan outcome) {
+// releaseLate releases the results of an order that was cancelled meanwhile.
+func (r *Router) releaseLate(service string, done <-chan outcome) {
 	if out := <-done; out.err == nil {
 		r.Free(service, out.res)
 	}
 }
 
-func (r *Router) suspect(n Node, o Order, err error) {
+func (r *Router) markSuspect(n Node, o Order, err error) {
 	r.Suspect(n)
-	r.log.Warn("node does not form batches, passed over", "peer", n.Name, "addr", n.Addr, "request", o.Request, "service", o.Service, "err", err)
+	r.log.Warn("order at node failed, skipping the node", "peer", n.Name, "addr", n.Addr, "request", o.Request, "service", o.Service, "err", err)
 }
 
-// note keeps the waits of a pool.
-func (r *Router) note(o Order, w Waits) {
+// recordWaits records the waits of a pool.
+func (r *Router) recordWaits(o Order, w Waits) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.waits[waitsKey{o.Service, o.Regions.String()}] = told{waits: w, at: time.Now()}
+	r.waits[waitsKey{o.Service, o.Regions.String()}] = reportedWaits{waits: w, at: time.Now()}
 }
 
-// Estimate returns the time that an order would take, by what the pool's former last
-// said.
+// Estimate returns the estimated duration of an order, based on the waits that the pool's former
+// last reported.
 func (r *Router) Estimate(service string, w Work) time.Duration {
 	spec := r.local.spec(service)
 	if spec == nil {
@@ -226,16 +224,17 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := expected(spec, w.Pieces)
-	if last := r.waits[waitsKey{service, w.Regions.String()}]; time.Since(last.at) < estimateLife {
-		e += last.waits.of(w)
+	if last := r.waits[waitsKey{service, w.Regions.String()}]; time.Since(last.at) < estimateTTL {
+		e += last.waits.forWork(w)
 	}
 	return e
 }
 
-// freeRemoteTimeout bounds the call to the former; results lapse anyhow.
+// freeRemoteTimeout bounds a call to the former that releases results. Results that are not
+// released expire.
 const freeRemoteTimeout = 500 * time.Millisecond
 
-// Free gives up the results of an order.
+// Free releases the results of an order.
 func (r *Router) Free(service string, res Result) {
 	if len(res.Handles) == 0 {
 		return
@@ -253,7 +252,8 @@
 	}()
 }
 
-// FreeIfTight gives up results that were read, where room is short; see Former.
+// FreeIfTight releases results that were read if their target is nearly full; see
+// Former.FreeIfTight.
 func (r *Router) FreeIfTight(service string, res Result) {
 	if len(res.Handles) == 0 {
 		return
@@ -266,13 +266,13 @@
 		ctx, cancel := context.WithTimeout(context.Background(), freeRemoteTimeout)
 		defer cancel()
 		if err := r.remote.Free(ctx, res.Former, service, res.Handles, true); err != nil {
-			r.log.Debug("results not given up early", "former", res.Former, "err", err)
+			r.log.Debug("early release of results failed", "former", res.Former, "err", err)
 		}
 	}()
 }
 
-// Lead returns the node that answers for something that all nodes share, as this node sees it,
-// and whether it is this one.
+// Lead returns the node responsible for a task that all nodes share, as seen by this node, and
+// whether it is this node.
 func (r *Router) Lead(name string) (n Node, self bool) {
 	ranked := r.ranked(name, region.Set{})
 	if len(ranked) == 0 {
@@ -281,15 +281,14 @@
 	return ranked[0], ranked[0].Name == r.self.Name
 }
 
-// Suspect passes over a node that did not answer for a while.
+// Suspect marks a node that did not respond. The node gets no orders for suspectFor.
 func (r *Router) Suspect(n Node) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.suspects[n.Name] = time.Now().Add(suspectFor)
 }
 
-// First returns the node that forms the batches of a service now, as this node
-// sees it.
+// First returns the name of the node that forms the batches of a service, as seen by this node.
 func (r *Router) First(service string) string {
 	n, _ := r.Lead(service)
 	return n.Name
--- a/internal/stagebatch/router_test.go
+++ b/internal/stagebatch/router_test.go
@@ -15,14 +15,15 @@
 	"topazmoor/internal/targets"
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// slowRemote is another node that takes its time, and says so or not.
+// slowRemote is another node that takes long for an order and reports its progress or not.
 type slowRemote struct {
 	takes time.Duration
-	// says is how often the node says that it works on an order; 0 for once.
-	says   time.Duration
-	orders int
+	// interval is the time between two reports that the node is working on an order; 0 for a
+	// single report at the start.
+	interval time.Duration
+	orders   int
 }
 
 func (r *slowRemote) Produce(ctx context.Context, _ string, o Order, accepted func(Waits)) (Result, error) {
@@ -30,8 +31,8 @@
 	accepted(Waits{})
 	end := time.After(r.takes)
 	var tick <-chan time.Time
-	if r.says > 0 {
-		t := time.NewTicker(r.says)
+	if r.interval > 0 {
+		t := time.NewTicker(r.interval)
 		defer t.Stop()
 		tick = t.C
 	}
@@ -49,10 +50,10 @@
 
 func (r *slowRemote) Free(context.Context, string, string, []string, bool) error { return nil }
 
-// instant is a Worker whose calls take the time of the specification.
-type instant struct{}
+// fixedTimeWorker is a Worker whose calls always take 200 ms.
+type fixedTimeWorker struct{}
 
-func (instant) Run(ctx context.Context, t targets.Target, items []Item, may func() bool) (Reply, error) {
+func (fixedTimeWorker) Run(ctx context.Context, t targets.Target, items []Item, may func() bool) (Reply, error) {
 	time.Sleep(200 * time.Millisecond)
 	out := make([]ItemResult, len(items))
 	for i, it := range items {
@@ -61,21 +62,20 @@
 	return Reply{Results: out}, nil
 }
 
-func (instant) Free(context.Context, string, []string) error { return nil }
-func (instant) Room(context.Context, string) (int64, error)  { return 1 << 20, nil }
-func (instant) Maker(string) string                          { return "" }
+func (fixedTimeWorker) Free(context.Context, string, []string) error { return nil }
+func (fixedTimeWorker) Room(context.Context, string) (int64, error)  { return 1 << 20, nil }
+func (fixedTimeWorker) Maker(string) string                          { return "" }
 
 func poolSpec(string) *routes.Batch {
 	return &routes.Batch{Slots: 1, Queue: 2, Items: 8, CallTime: 200 * time.Millisecond, ItemTime: 20 * time.Millisecond, RoomBytes: 1 << 20, Keep: 4 * time.Second}
 }
 
-// routerTo returns a Router of a node that would not form batches itself while
-// the remote node does.
+// routerTo returns a Router whose node forms batches only if the remote node does not.
 func routerTo(r Remote) *Router {
 	list := targets.New("dc")
 	list.Update([]targets.Target{{ID: "t", Service: "pool", Addr: "a:1", DataCentre: "dc", Slots: 1}}, time.Time{})
-	local := NewFormer(instant{}, list, poolSpec, quiet)
-	router := NewRouter(Node{Name: "self"}, local, r, func() []Node { return []Node{{Name: "other", Addr: "b:1"}} }, quiet)
+	local := NewFormer(fixedTimeWorker{}, list, poolSpec, discardLog)
+	router := NewRouter(Node{Name: "self"}, local, r, func() []Node { return []Node{{Name: "other", Addr: "b:1"}} }, discardLog)
 	router.Stop()
 	return router
 }
@@ -85,12 +85,12 @@
 	return Order{Service: "pool", Request: "r", Pieces: pieces, Due: now.Add(time.Second), Deadline: now.Add(20 * time.Second)}
 }
 
-// A former whose pool is slow was taken for a dead one, its orders went to
-// other nodes too, and the pools were busy with the same pieces several times.
+// Guards against treating the former of a slow pool as dead: its orders are then sent to other
+// nodes too, and the pool produces the same pieces several times.
 func TestSlowFormerIsNotTakenForADeadOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		remote := &slowRemote{takes: 8 * time.Second, says: 250 * time.Millisecond}
+		remote := &slowRemote{takes: 8 * time.Second, interval: 250 * time.Millisecond}
 		router := routerTo(remote)
 		res, err := router.Produce(t.Context(), orderOf(3))
 		c.Assert(err, qt.IsNil)
@@ -111,14 +111,14 @@
 		c.Assert(res.Former, qt.Equals, "")
 		c.Assert(time.Since(start) < silenceTimeout+time.Second, qt.IsTrue)
 		c.Assert(router.Live(), qt.Equals, 1)
-		// It is asked again later.
+		// It receives orders again later.
 		time.Sleep(suspectFor)
 		c.Assert(router.Live(), qt.Equals, 2)
 	})
 }
 
-// stuckRemote is a node whose connection takes nothing more: its call ends only long
-// after it was given up, with results.
+// stuckRemote is a node with a stalled connection: a call ends only long after it was cancelled,
+// and returns results.
 type stuckRemote struct {
 	takes time.Duration
 	freed atomic.Int32
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// An order waited for as long as its call was stuck, seconds instead of the time
-// after which a silent node is passed over.
+// Guards against an order that waits until its stuck call ends, seconds instead of the timeout
+// after which an unresponsive node is skipped.
 func TestStuckCallIsNotWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -159,8 +159,8 @@
 	return Result{}, ErrNoTarget
 }
 
-// After a loss of all nodes orders were refused by formers that did not know the pool's
-// targets yet, although the nodes that gave the orders did.
+// Guards against orders that fail after a loss of all nodes because their former does not know
+// the pool's targets yet, although the node that sent the order does.
 func TestOrderOfAPoolThatTheFormerDoesNotKnowGoesOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -168,7 +168,7 @@
 		res, err := router.Produce(t.Context(), orderOf(3))
 		c.Assert(err, qt.IsNil)
 		c.Assert(res.Handles, qt.HasLen, 3)
-		// A pool that has no target for anybody.
+		// No node knows a target of this pool.
 		o := orderOf(1)
 		o.Service = "empty"
 		_, err = router.Produce(t.Context(), o)
--- a/internal/stagebatch/stagebatch.go
+++ b/internal/stagebatch/stagebatch.go
@@ -1,9 +1,9 @@
-// Package stagebatch makes the calls of stage pools. A call costs a target the
-// same time whatever it holds, so pieces of many requests, from all nodes, meet
-// in one batch: for each pool one node (the first live one in the order of
-// rendezvous hashing) forms the batches for all. Which node that is may be
-// seen differently for a while; that costs smaller batches and nothing else,
-// because a piece may be produced twice. Source: docs/design/012-pass-through.md.
+// Package stagebatch combines pieces of requests into batches and calls stage targets with them.
+// A call has a fixed cost besides the cost of its items, so pieces of many requests, from all
+// nodes, share one call. For each pool one node, the former, forms the batches for all nodes:
+// the first live node of the strongest capacity class, in the order of rendezvous hashing. Nodes
+// may disagree for a while on which node that is. Batches are smaller then, and a piece may be
+// produced twice, which is harmless. See docs/design/012-pass-through.md.
 package stagebatch
 
 import (
@@ -18,77 +18,75 @@
 	"topazmoor/internal/targets"
 )
 
-// Order asks for the pieces of one stage of one request.
+// Order requests the results of one stage of one request.
 type Order struct {
 	Service string
-	// Request is the request's ID, Stage the stage's number in its route.
+	// Request is the request's ID. Stage is the index of the stage in its route.
 	Request string
 	Stage   int
-	// Pieces is how many results the stage has, numbered from 0.
+	// Pieces is the number of results of the stage. They are numbered from 0.
 	Pieces int
-	// Key is handed to stages that read no results, Inputs are the results that
-	// the others read.
+	// Key is the input of stages that read no results of other stages. Inputs are the handles of
+	// the results that the other stages read.
 	Key    string
 	Inputs []string
 	// Priority is the request's rank; 0 is the most urgent.
 	Priority int
-	// Due is when the results should be there for the request to meet its
-	// objective, Deadline when they are of no use any more.
+	// Due is when the results must be complete for the request to meet its objective. After
+	// Deadline the results are useless.
 	Due, Deadline time.Time
 	// ResultBytes is the approximate size of one result.
 	ResultBytes int64
-	// DataCentre is where the results should be made if a target there is free;
-	// "" for anywhere.
+	// DataCentre is the preferred data centre for producing the results; "" means no preference.
 	DataCentre string
-	// Regions are those in which the results may be made.
+	// Regions are the regions in which the results may be produced.
 	Regions region.Set
-	// Digest names the request among all attempts of its caller, Probe the probe under which it
-	// is made where it is in quarantine: alone in its calls.
+	// Digest identifies the request across all attempts of its caller. Probe is the quarantine
+	// probe under which a quarantined request runs, or "". An order with a probe does not share
+	// its calls with other orders.
 	Digest poison.Digest
 	Probe  string
-	// InputsRead, when set, is called at most once, when the targets have read
-	// the inputs: they may be given up although the order is still in work.
+	// InputsRead, if set, is called at most once, after the targets have read the inputs of all
+	// pieces. The inputs may then be released although the order is still in progress.
 	InputsRead func()
 }
 
-// Result is what an Order gave.
+// Result is the outcome of a completed Order.
 type Result struct {
-	// Handles name the results, in the order of the pieces.
+	// Handles identify the results, in the order of the pieces.
 	Handles []string
-	// Former is the node that formed the batches and keeps the accounts of the
-	// results; "" for this node.
+	// Former is the address of the node that formed the batches and tracks the results; "" for
+	// this node.
 	Former string
 }
 
-// Errors of orders. In each case the request itself has not run.
+// Errors of orders. After each of them the request itself has not run.
 var (
-	// ErrLate: the results would come too late.
+	// ErrLate: the results would be complete only after the deadline.
 	ErrLate = errors.New("stagebatch: the stage cannot be done in time")
-	// ErrInputGone: a result that the stage reads is no longer there; it must
-	// be produced again.
+	// ErrInputGone: a result that the stage reads no longer exists and must be produced again.
 	ErrInputGone = errors.New("stagebatch: an input is gone")
-	// ErrFailed: the targets failed the stage repeatedly.
+	// ErrFailed: calls with a piece of the stage failed too often.
 	ErrFailed = errors.New("stagebatch: the stage failed")
-	// ErrCrashed: targets ended under the stage, and it is not for the former to go on.
+	// ErrCrashed: targets ended while they ran the stage, and the former must not retry it.
 	ErrCrashed = errors.New("stagebatch: targets ended under the stage")
-	// ErrNoTarget: the pool has no target.
+	// ErrNoTarget: the pool has no target that the order may use.
 	ErrNoTarget = errors.New("stagebatch: the pool has no target")
 )
 
-// Item is one piece as a call carries it.
+// Item is one piece as sent in a call.
 type Item struct {
 	Request      string
 	Stage, Piece int
 	Key          string
 	Inputs       []string
-	// Remaining is how long the result is of use.
+	// Remaining is the time until the result becomes useless.
 	Remaining time.Duration
 }
 
-// Reason is why an item has no result.
+// Reason tells why an item has no result, or that it has one.
 type Reason uint8
 
-// The reasons.
 const (
 	Produced Reason = iota
 	Late
@@ -103,24 +101,25 @@
 	Reason Reason
 }
 
-// Reply is the answer of a call.
+// Reply is the response to a call.
 type Reply struct {
-	// Results has one entry an item, in their order.
+	// Results has one entry per item, in the order of the items.
 	Results []ItemResult
-	// Others is how many calls of other formers the target had when this one ended.
+	// Others is the number of calls of other formers that the target had in progress when this
+	// call ended.
 	Others int
-	// Notice is what the target says of whether it takes work.
+	// Notice is the readiness that the target reports.
 	Notice readiness.Notice
-	// Limit is what the target says of the rate of calls that it takes.
+	// Limit is the call rate that the target advertises.
 	Limit sharedrate.Word
 }
 
-// CallError is a call without results. NotRun says that the target rejected it
-// or was never reached, Moved that another process has the address, Withheld that it was not to
-// be sent any more when its turn came.
+// CallError is the error of a call without results. NotRun means that the target rejected the
+// call or was never reached, Moved that another process has the address now, and Withheld that
+// the call was not sent because it was no longer allowed once the connection was ready.
 type CallError struct {
 	NotRun, Unreachable, Moved, Withheld bool
-	// Notice and Limit are what the target said with a rejection or a failure.
+	// Notice and Limit are what the target reported with a rejection or a failure.
 	Notice readiness.Notice
 	Limit  sharedrate.Word
 	Cause  error
@@ -132,26 +131,27 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Cause }
 
-// Guard learns under which requests targets ended; *poison.Guard in production.
+// Guard tracks the requests during which targets ended. The production implementation is
+// *poison.Guard.
 type Guard interface {
-	// Suspect reports whether a target ended under a request, Quarantined whether it may run
-	// under a probe only.
+	// Suspect reports whether a target ended while it ran the request. Quarantined reports
+	// whether the request may run only under a probe.
 	Suspect(d poison.Digest) bool
 	Quarantined(d poison.Digest) bool
-	// Ended tells that a call broke off at a target. The channel tells
-	// whether the target's process ended.
+	// Ended records that a call broke off at a target. The channel reports whether the target's
+	// process ended.
 	Ended(r poison.Run) <-chan bool
 }
 
-// Worker makes calls at stage targets; platform/ has the real one.
+// Worker calls stage targets. The production implementation is in platform/.
 type Worker interface {
-	// Run makes one call. may is asked just before its first byte is sent; where it reports
-	// false nothing is. It fails with *CallError.
+	// Run makes one call. It calls may just before it sends the first byte and sends nothing if
+	// may returns false. Its errors are of type *CallError.
 	Run(ctx context.Context, t targets.Target, items []Item, may func() bool) (Reply, error)
-	// Free gives up results at their maker.
+	// Free releases results at the target that holds them.
 	Free(ctx context.Context, addr string, handles []string) error
-	// Room returns how many bytes of results a target can still take at the most; targets
-	// tell it roughly.
+	// Room returns an upper bound, in bytes, of the target's free space for results. The
+	// targets' figures are approximate.
 	Room(ctx context.Context, addr string) (int64, error)
 	// Maker returns the address (IP:port) of the target that holds a result.
 	Maker(handle string) string
--- a/internal/stagebatch/versions.go
+++ b/internal/stagebatch/versions.go
@@ -8,23 +8,24 @@
 	"topazmoor/internal/targets"
 )
 
-// versions shares out the calls of a pool while the version of its targets changes. One node
-// forms the batches of a pool, so that its own count keeps the share.
-type versions struct {
+// versionSplit divides the calls of a pool between two versions of its targets during a
+// roll-out. One node forms the batches of a pool, so its local count is enough to keep the
+// share.
+type versionSplit struct {
 	trial targets.Trial
-	// credit is how many pieces the version on trial may have by now.
+	// credit is the number of pieces that the version on trial may still receive.
 	credit float64
 }
 
-func (v *versions) set(t targets.Trial) {
+func (v *versionSplit) set(t targets.Trial) {
 	if t.Version != v.trial.Version {
 		v.credit = 0
 	}
 	v.trial = t
 }
 
-// mayCall reports whether a target of a version may be given a call.
-func (v *versions) mayCall(version string) bool {
+// mayCall reports whether a target of the version may receive a call now.
+func (v *versionSplit) mayCall(version string) bool {
 	switch {
 	case slices.Contains(v.trial.Barred, version):
 		return false
@@ -36,8 +37,9 @@
 	return v.trial.Share < 1
 }
 
-// called counts a call of some pieces to a target of a version.
-func (v *versions) called(version string, pieces, most int) {
+// recordCall counts a call with the given number of pieces to a target of the version. most
+// bounds the credit.
+func (v *versionSplit) recordCall(version string, pieces, most int) {
 	if v.trial.Version == "" {
 		return
 	}
@@ -47,7 +49,8 @@
 	}
 }
 
-// outcomeOf tells how a call speaks for or against the version of its target.
+// outcomeOf classifies the outcome of a call as evidence for or against the version of its
+// target.
 func outcomeOf(reply Reply, err error) rollout.Outcome {
 	var ce *CallError
 	switch {
--- a/internal/stagebatch/working_test.go
+++ b/internal/stagebatch/working_test.go
@@ -15,7 +15,8 @@
 	"topazmoor/internal/targets"
 )
 
-// manyTargets is a worker that counts what reaches the targets.
+// manyTargets is a Worker that counts the queries of free space and records the targets that
+// were called.
 type manyTargets struct {
 	spec  *routes.Batch
 	rooms atomic.Int64
@@ -46,8 +47,8 @@
 
 func (w *manyTargets) Maker(handle string) string { return handle }
 
-// poolOf returns a former of a pool with many targets in six data centres.
-func poolOf(n int) (*manyTargets, *Former) {
+// newManyTargets returns a Worker and a former of a pool with n targets in six data centres.
+func newManyTargets(n int) (*manyTargets, *Former) {
 	spec := &routes.Batch{Slots: 1, Queue: 2, Items: 8, CallTime: 200 * time.Millisecond, ItemTime: 20 * time.Millisecond, RoomBytes: 100 << 20, Keep: 10 * time.Second}
 	w := &manyTargets{spec: spec, called: make(map[string]bool)}
 	list := targets.New("d0")
@@ -56,12 +57,13 @@
 		all = append(all, targets.Target{ID: fmt.Sprint("t", i), Service: "pool", Addr: fmt.Sprint("a", i), DataCentre: fmt.Sprint("d", i%6), Slots: 1})
 	}
 	list.Update(all, time.Time{})
-	f := NewFormer(w, list, func(string) *routes.Batch { return spec }, quiet)
+	f := NewFormer(w, list, func(string) *routes.Batch { return spec }, discardLog)
 	f.Name = "node"
 	return w, f
 }
 
-// produceMany runs orders that come one after the other, and returns how many were made in time.
+// produceMany starts n orders, one after each interval, and returns how many were completed in
+// time.
 func produceMany(t *testing.T, f *Former, n int, each time.Duration, due time.Duration) int {
 	var wg sync.WaitGroup
 	var inTime atomic.Int64
@@ -81,27 +83,27 @@
 	return int(inTime.Load())
 }
 
-// A former that begins asks as many targets as it needs, however many there are: it must accept
-// its first orders meanwhile.
+// A new former queries no more targets than it needs, however many there are, because it must
+// accept its first orders meanwhile.
 func TestFormerThatBeginsAsksFewTargets(t *testing.T) {
 	asked := func(n int) (rooms int64) {
 		synctest.Test(t, func(t *testing.T) {
-			w, f := poolOf(n)
+			w, f := newManyTargets(n)
 			qt.Assert(t, produceMany(t, f, 20, 50*time.Millisecond, time.Second), qt.Equals, 20)
 			rooms = w.rooms.Load()
 		})
 		return rooms
 	}
-	few, many := asked(leastWorking), asked(3000)
-	qt.Assert(t, many <= few+6, qt.IsTrue, qt.Commentf("%d of %d targets asked, %d of 3000", few, leastWorking, many))
+	few, many := asked(minWorkingSet), asked(3000)
+	qt.Assert(t, many <= few+6, qt.IsTrue, qt.Commentf("%d of %d targets asked, %d of 3000", few, minWorkingSet, many))
 }
 
-// A burst that needs more targets than are worked with gets them while there is time.
+// A burst that needs more targets than the working set has gets them in time.
 func TestBurstGetsAllTheTargetsThatItNeeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, f := poolOf(600)
+		w, f := newManyTargets(600)
 		qt.Assert(t, produceMany(t, f, 20, 50*time.Millisecond, time.Second), qt.Equals, 20)
-		// 800 orders at once are 400 calls of 0.36 s.
+		// 800 orders at once take 400 calls of 0.36 s.
 		qt.Assert(t, produceMany(t, f, 800, 0, time.Second), qt.Equals, 800)
 		qt.Assert(t, len(w.called) >= 300, qt.IsTrue, qt.Commentf("%d targets", len(w.called)))
 	})
