--- a/internal/stagebatch/estimate.go
+++ b/internal/stagebatch/estimate.go
@@ -20,8 +20,8 @@
 	LateBegun, LateNew time.Duration
 }
 
-// Of returns the wait of pieces of a rank that can meet their objective.
-func (w Waits) Of(rank int) time.Duration {
+// ForRank returns the wait of pieces of a rank that can meet their objective.
+func (w Waits) ForRank(rank int) time.Duration {
 	if len(w.OnTime) == 0 {
 		return 0
 	}
@@ -42,11 +42,11 @@
 func (w Waits) forWork(work Work) time.Duration {
 	switch {
 	case work.Late && work.Begun:
-		return max(w.LateBegun, w.Of(work.Rank))
+		return max(w.LateBegun, w.ForRank(work.Rank))
 	case work.Late:
-		return max(w.LateNew, w.Of(work.Rank))
+		return max(w.LateNew, w.ForRank(work.Rank))
 	}
-	return w.Of(work.Rank)
+	return w.ForRank(work.Rank)
 }
 
 const (
--- a/internal/stagebatch/estimate_test.go
+++ b/internal/stagebatch/estimate_test.go
@@ -43,9 +43,9 @@
 		// Two of the ten orders are in calls, and the next call starts within the time of one
 		// call.
 		call := expected(poolSpec(""), 8)
-		c.Assert(waits.Of(0) <= call, qt.IsTrue, qt.Commentf("%v", waits))
-		c.Assert(waits.Of(3) > 3*call, qt.IsTrue, qt.Commentf("%v", waits))
-		c.Assert(waits.Of(9), qt.Equals, waits.Of(3))
+		c.Assert(waits.ForRank(0) <= call, qt.IsTrue, qt.Commentf("%v", waits))
+		c.Assert(waits.ForRank(3) > 3*call, qt.IsTrue, qt.Commentf("%v", waits))
+		c.Assert(waits.ForRank(9), qt.Equals, waits.ForRank(3))
 	})
 }
 
@@ -64,13 +64,13 @@
 			low(fmt.Sprint("low", i))
 		}
 		time.Sleep(2 * waitsTTL)
-		alone := f.Waits("pool").Of(3)
+		alone := f.Waits("pool").ForRank(3)
 		for i := range 3 {
 			go produceAndFree(t, f, rankedOrder(fmt.Sprint("high", i), 0, 8))
 		}
 		synctest.Wait()
 		time.Sleep(2 * waitsTTL)
-		c.Assert(f.Waits("pool").Of(3) > alone+expected(poolSpec(""), 8), qt.IsTrue)
+		c.Assert(f.Waits("pool").ForRank(3) > alone+expected(poolSpec(""), 8), qt.IsTrue)
 	})
 }
 
--- a/internal/stagebatch/leaving_test.go
+++ b/internal/stagebatch/leaving_test.go
@@ -107,7 +107,7 @@
 		_, err := f.Produce(t.Context(), orderDueIn("r", 2, 0, 5*time.Second), func(w Waits) { reported = w })
 		c.Assert(err, qt.IsNil)
 		// The wait is at least the rest, and not much more.
-		c.Assert(reported.Of(0) >= 3*time.Second && reported.Of(0) < 3200*time.Millisecond, qt.IsTrue, qt.Commentf("%v", reported.Of(0)))
+		c.Assert(reported.ForRank(0) >= 3*time.Second && reported.ForRank(0) < 3200*time.Millisecond, qt.IsTrue, qt.Commentf("%v", reported.ForRank(0)))
 		c.Assert(time.Since(started) >= 3*time.Second, qt.IsTrue)
 		time.Sleep(5 * time.Second)
 	})
--- a/internal/stagebatch/pool.go
+++ b/internal/stagebatch/pool.go
@@ -373,9 +373,9 @@
 	return o.DataCentre == pl.dataCentre || !pl.working[o.DataCentre]
 }
 
-// inTime reports whether a slow target may take an order: either the order would be late at a
-// healthy target too and this one meets its deadline, or this one meets its due time. takes is
-// the duration at a healthy target.
+// inTime reports whether the target may take an order with regard to its speed. It may if it is
+// not slow, if the order meets Due here, or if the order would miss Due even at a healthy target
+// but meets Deadline here. takes is the duration at a healthy target.
 func (pl placement) inTime(o *order, takes time.Duration, now time.Time) bool {
 	if pl.slower < healthyRatio {
 		return true
