--- a/internal/passthrough/admit.go
+++ b/internal/passthrough/admit.go
@@ -9,42 +9,43 @@
 )
 
 const (
-	// admitShare is the share of the estimated need that must fit the deadline:
-	// the estimate counts work ahead that will itself be given up.
-	admitShare = 0.9
-	// backShare is the largest part of its time after which a caller is told to
-	// come back; callers heed up to a third of what is left.
-	backShare = 0.3
-	// stopMargin is kept free before the end of the process.
+	// admissionFraction is the fraction of the estimated time that must fit before the deadline.
+	// It is below 1 because the estimate counts queued work that will itself be abandoned.
+	admissionFraction = 0.9
+	// maxRetryAfterFraction is the largest fraction of the caller's remaining time that a refusal
+	// names as retry delay: callers honour delays of up to a third of what is left.
+	maxRetryAfterFraction = 0.3
+	// stopMargin is the time kept free before the end of the process.
 	stopMargin = 500 * time.Millisecond
 )
 
-// admit refuses at once what cannot be served by its deadline. What would be late is
-// taken: the objective counts from the caller's first try, so that who is sent away is
-// later still. Late work goes after all other work in the queues of the stages, so that
-// it takes longer, and it is refused when too much of it waits already.
+// admit refuses a request at once if it cannot be served by its deadline. A request that will
+// miss its objective, but not its deadline, is admitted: the objective counts from the
+// caller's first attempt, so a refused caller would be served later still. Late requests queue
+// behind all other work of the stages, so their estimate is longer, and they are refused when
+// too many of them are already queued.
 func (c *call) admit() error {
 	if err := c.s.cfg.Guard.Admit(c.digest); err != nil {
-		return c.quarantined(err)
+		return c.quarantineError(err)
 	}
-	if err := c.refuseAtRest(); err != nil {
+	if err := c.refuseAllPaused(); err != nil {
 		return err
 	}
-	need := c.onTime().need()
-	late := c.route.Kind == routes.Stream && need > c.route.Objective
+	timeToAnswer := c.onTimeEstimator().timeToAnswer()
+	late := c.route.Kind == routes.Stream && timeToAnswer > c.route.Objective
 	if late && !c.s.cfg.Off.Has(mechanism.RefuseHopeless) {
-		need = max(need, outlook{c: c, late: true}.need())
+		timeToAnswer = max(timeToAnswer, estimator{c: c, late: true}.timeToAnswer())
 	}
-	c.estimated = need
+	c.estimated = timeToAnswer
 	left := c.timeLeft()
 	c.log.Info("accepted", "route", c.route.Name, "service", c.service, "account", c.account, "rank", c.rank, "config", c.cfg.Version,
-		"need_ms", need.Milliseconds(), "left_ms", left.Milliseconds(), "objective_ms", c.route.Objective.Milliseconds(), "late", late, "pieces", c.meta.Pieces, "digest", c.digest)
-	if time.Duration(admitShare*float64(need)) > left {
-		back := min(need-left+c.comeBack(), time.Duration(backShare*float64(left)))
+		"need_ms", timeToAnswer.Milliseconds(), "left_ms", left.Milliseconds(), "objective_ms", c.route.Objective.Milliseconds(), "late", late, "pieces", c.meta.Pieces, "digest", c.digest)
+	if time.Duration(admissionFraction*float64(timeToAnswer)) > left {
+		delay := min(timeToAnswer-left+c.retryAfter(), time.Duration(maxRetryAfterFraction*float64(left)))
 		return notRun(verdict.DeadlineUnreachable, "the request needs about %v and %v are left",
-			need.Round(time.Millisecond), left.Round(time.Millisecond)).After(back)
+			timeToAnswer.Round(time.Millisecond), left.Round(time.Millisecond)).After(delay)
 	}
-	if ends := c.s.stopping(); !ends.IsZero() && time.Until(ends) < need+stopMargin {
+	if ends := c.s.stopping(); !ends.IsZero() && time.Until(ends) < timeToAnswer+stopMargin {
 		return notRun(verdict.Stopping, "the node stops").After(stopRetryAfter)
 	}
 	return nil
--- a/internal/passthrough/attempt.go
+++ b/internal/passthrough/attempt.go
@@ -14,39 +14,40 @@
 	"topazmoor/internal/verdict"
 )
 
-// attempt is one request at one target whose answer has begun.
+// attempt is a request sent to one target whose response has begun.
 type attempt struct {
 	lease *targets.Lease
-	n     sending
+	n     sendInfo
 	ans   *httpconn.Answer
-	told  Told
+	info  Told
 	start time.Time
 }
 
-// failure is an attempt that gave no answer to deliver.
+// failure describes a send that gave no response to deliver.
 type failure struct {
-	// ran says that the target may have begun to work.
+	// ran reports that the target may have begun to process the request.
 	ran bool
-	// busy says that the target rejected the request.
+	// busy reports that the target rejected the request.
 	busy      bool
 	inputGone bool
-	// unsent says that the target was not reached, so that nothing arrived anywhere; withheld
-	// that it was not to be sent anything any more when the send's turn came.
+	// unsent reports that the target was not reached, so it received nothing. withheld reports
+	// that the target was no longer callable when the first byte of the request was due.
 	unsent, withheld bool
-	// stale says that a kept connection ended at once, without a byte of an answer:
-	// its target had closed it, or ended.
+	// stale reports that a kept-alive connection ended at once without a byte of a response: the
+	// target had closed it, or its process had ended.
 	stale bool
-	// paid says that the repeat after this failure was taken from the budget.
-	paid bool
-	// target is where the attempt was made.
+	// budgetCharged reports that the repeat after this failure is already charged to the repeat budget.
+	budgetCharged bool
+	// target is the ID of the target.
 	target string
-	// none says that there is nobody to send the request to.
-	none bool
-	err  error
+	// noResend reports that the request cannot be sent to any further target: none may be called,
+	// or the caller is gone.
+	noResend bool
+	err      error
 }
 
-// why names the failure for logs and metrics.
-func (f *failure) why() string {
+// reason returns the label of the failure for logs and metrics.
+func (f *failure) reason() string {
 	switch {
 	case f.busy:
 		return "busy"
@@ -56,10 +57,10 @@
 	return "failure"
 }
 
-// send hands the request to a target and reads the head of its answer. Exactly one of its
-// results is set. The lease is ended with a failure. It only reads the call: sends run beside
-// each other.
-func (c *call) send(ctx context.Context, l *targets.Lease, n sending, o Outgoing) (*attempt, *failure) {
+// send sends the request to a target and reads the head of its response. Exactly one of its
+// results is set. On a failure send ends the lease. Sends of one request may run concurrently,
+// so send only reads the call.
+func (c *call) send(ctx context.Context, l *targets.Lease, n sendInfo, o Outgoing) (*attempt, *failure) {
 	o.Target, o.Account, o.Rank = l.ID, c.account, c.rank
 	o.Remaining = c.timeLeft()
 	a := &attempt{lease: l, n: n, start: time.Now()}
@@ -69,51 +70,53 @@
 	ans, err := c.s.cfg.Sender.Do(ctx, l.Addr, &httpconn.Request{
 		ID: c.meta.ID, Method: c.r.Method, Target: c.r.RequestURI, Host: c.r.Host,
 		Header: c.s.cfg.Wire.ToTarget(c.r.Header, o), Body: c.body,
-		// What a target says of itself may come between its choice and the first byte, also
-		// while a connection is opened.
+		// The target may announce that it is leaving, or pauses, between its selection and the first
+		// byte, also while a connection is opened.
 		Fresh: n.fresh, May: l.MaySend,
 	})
 	if err != nil {
 		return nil, c.noAnswer(ctx, l, n, a.start, err)
 	}
-	a.ans, a.told = ans, c.s.cfg.Wire.FromTarget(ans.Status, ans.Header)
-	if a.told.Load != nil {
-		l.Told(*a.told.Load)
+	a.ans, a.info = ans, c.s.cfg.Wire.FromTarget(ans.Status, ans.Header)
+	if a.info.Load != nil {
+		l.Told(*a.info.Load)
 	}
-	c.heard(a)
-	if a.told.Moved && c.meta.VersionBound {
-		// Its weights may be other ones: no reason to think that the target is gone.
-		a.told.Moved = false
+	c.applyNotice(a)
+	if a.info.Moved && c.meta.VersionBound {
+		// The process at this address may merely have other weights, which does not show that the
+		// target is gone.
+		a.info.Moved = false
 	}
 	if f := rejected(a); f != nil {
-		c.settle(a, f)
+		c.finishRejected(a, f)
 		return nil, f
 	}
 	return a, nil
 }
 
-// heard takes in what the target says of whether it takes work. The head of a stream says it
-// as any other answer does.
-func (c *call) heard(a *attempt) {
-	// Other statuses than these are about the request.
+// applyNotice applies what the response reports about the target's readiness and limit. The
+// head of a stream carries this as any other response does.
+func (c *call) applyNotice(a *attempt) {
+	// Other statuses concern the request, not the target.
 	busy := a.ans.Status == http.StatusServiceUnavailable || a.ans.Status == http.StatusTooManyRequests
-	switch a.lease.Heard(a.told.Notice, busy && a.told.NotRun) {
+	switch a.lease.Heard(a.info.Notice, busy && a.info.NotRun) {
 	case readiness.BeganToLeave:
-		c.log.Info("target says that it leaves", "target", a.lease.ID, "addr", a.lease.Addr, "service", c.service, "status", a.ans.Status)
+		c.log.Info("target announced that it is leaving", "target", a.lease.ID, "addr", a.lease.Addr, "service", c.service, "status", a.ans.Status)
 	case readiness.BeganToRest:
-		c.log.Info("target asks for rest", "target", a.lease.ID, "addr", a.lease.Addr, "service", c.service, "status", a.ans.Status,
-			"rest_ms", a.told.Notice.Rest.Milliseconds())
+		c.log.Info("target announced a pause", "target", a.lease.ID, "addr", a.lease.Addr, "service", c.service, "status", a.ans.Status,
+			"rest_ms", a.info.Notice.Rest.Milliseconds())
 	case readiness.Unchanged:
 	}
-	a.lease.HeardLimit(a.told.Limit)
+	a.lease.HeardLimit(a.info.Limit)
 }
 
-// staleWithin is how soon a kept connection ends that its target had closed:
+// staleWithin is how soon a kept-alive connection fails if the target had already closed it:
 // after one round trip.
 const staleWithin = 20 * time.Millisecond
 
-// noAnswer reads a send without an answer.
-func (c *call) noAnswer(ctx context.Context, l *targets.Lease, n sending, start time.Time, err error) *failure {
+// noAnswer classifies a send without a response, ends the lease and reports the outcome to the
+// guard.
+func (c *call) noAnswer(ctx context.Context, l *targets.Lease, n sendInfo, start time.Time, err error) *failure {
 	var ce *httpconn.Error
 	sent := !errors.As(err, &ce) || ce.Sent
 	switch {
@@ -131,22 +134,22 @@
 		l.Unsent()
 	}
 	if sent && !stale {
-		c.brokeOff(l, n, start, ctx.Err() != nil)
+		c.reportInterrupted(l, n, start, ctx.Err() != nil)
 	} else {
-		c.abandoned(n)
+		c.reportAbandoned(n)
 	}
 	return &failure{ran: sent, unsent: !sent, withheld: ce != nil && ce.Withheld, stale: stale, target: l.ID, err: err}
 }
 
-// rejected returns the failure of an answer that is not the target's answer to
-// the request, or nil.
+// rejected returns the failure of a response that is not the target's own result of the
+// request, or nil.
 func rejected(a *attempt) *failure {
 	switch {
-	case a.told.Moved:
+	case a.info.Moved:
 		return &failure{err: errors.New("another process has the target's address")}
-	case a.told.NotRun:
-		return &failure{busy: true, inputGone: a.told.InputGone, err: errors.New("the target rejected the request")}
-	case a.ans.Status < http.StatusMultipleChoices && !a.told.Signed:
+	case a.info.NotRun:
+		return &failure{busy: true, inputGone: a.info.InputGone, err: errors.New("the target rejected the request")}
+	case a.ans.Status < http.StatusMultipleChoices && !a.info.Signed:
 		return &failure{ran: true, err: errors.New("the answer has no signature")}
 	case a.ans.Header.Get("Content-Encoding") != "":
 		return &failure{ran: true, err: errors.New("the answer is encoded, so that it is not the target's own")}
@@ -154,30 +157,30 @@
 	return nil
 }
 
-// settle reads off a rejection, so that its connection can be kept, and ends
+// finishRejected reads the rest of a rejection, so that its connection can be reused, and ends
 // the lease.
-func (c *call) settle(a *attempt, f *failure) {
-	// What cannot be read takes its connection with it.
+func (c *call) finishRejected(a *attempt, f *failure) {
+	// If the body cannot be read, the connection is not reused.
 	_, _ = io.Copy(io.Discard, io.LimitReader(a.ans.Body, maxRejection))
 	a.ans.Body.Close()
 	outcome := targets.Failed
 	switch {
-	case a.told.Moved:
+	case a.info.Moved:
 		outcome = targets.Moved
 	case f.busy:
 		outcome = targets.Busy
 	}
 	a.lease.Done(outcome, 0)
-	c.abandoned(a.n)
+	c.reportAbandoned(a.n)
 	c.log.Info("target rejected the request", "target", a.lease.ID, "addr", a.lease.Addr, "status", a.ans.Status,
-		"not_run", a.told.NotRun, "moved", a.told.Moved, "load", a.told.Load, "leaving", a.told.Notice.Leaving, "rest_ms", a.told.Notice.Rest.Milliseconds(), "err", f.err)
+		"not_run", a.info.NotRun, "moved", a.info.Moved, "load", a.info.Load, "leaving", a.info.Notice.Leaving, "rest_ms", a.info.Notice.Rest.Milliseconds(), "err", f.err)
 }
 
-// maxRejection bounds the body of a rejection that is read off, in bytes.
+// maxRejection bounds the bytes that are read of the body of a rejection.
 const maxRejection = 16 << 10
 
-// mayRepeat reports whether the request may be sent to one more target after a
-// failure, and uses up the budget.
+// mayRepeat reports whether the request may be sent to one more target after a failure, and
+// charges the repeat budget if that send counts as a repeat.
 func (c *call) mayRepeat(f *failure, why string) bool {
 	if c.ctx.Err() != nil {
 		return false
@@ -192,8 +195,8 @@
 	if !c.mayRunAgain() {
 		return false
 	}
-	if c.takesBudget(f) && !c.s.cfg.Repeats.Take(c.ctx, c.service) {
-		c.log.Info("not sent again: the budget of repeats is used up", "service", c.service, "why", why)
+	if c.chargesBudget(f) && !c.s.cfg.Repeats.Take(c.ctx, c.service) {
+		c.log.Info("request not repeated: repeat budget exhausted", "service", c.service, "why", why)
 		return false
 	}
 	c.s.cfg.Observer.Repeated(c.service, why)
@@ -203,49 +206,50 @@
 	return true
 }
 
-// mayRunAgain reports whether the request may run at one more target. It may have run wherever it
-// was sent; where a kept connection had been closed it almost surely has not, which does not use up
-// an attempt of a request that may be repeated.
+// mayRunAgain reports whether the request may run at one more target. It may have run at every
+// target that received it. A send on a kept-alive connection that the target had closed almost
+// surely did not run; it does not use up an attempt of a request that may be repeated.
 func (c *call) mayRunAgain() bool {
 	return c.runs == 0 || c.route.Repeatable() && c.runs-c.stale < max(c.route.MaxAttempts, 1)
 }
 
-// maxUnsent is how often a request may find a target gone without using up the budget of
-// repeats. Nothing arrived there, and targets that ended stand in the list for some seconds, while
-// a node's part of the budget is small. More would be a search through a service that is gone.
-const maxUnsent = 4
+// maxUnreachable is how many unreachable targets a request may try without charging the repeat
+// budget. Such targets received nothing, and targets that have ended stay in the list for some
+// seconds, while a node's share of the budget is small. A higher number would only search a
+// service that is gone.
+const maxUnreachable = 4
 
-// takesBudget reports whether another send counts as a repeat.
-func (c *call) takesBudget(f *failure) bool {
+// chargesBudget reports whether another send counts as a repeat.
+func (c *call) chargesBudget(f *failure) bool {
 	switch {
-	case c.sends == 0, f != nil && (f.paid || f.withheld):
+	case c.sends == 0, f != nil && (f.budgetCharged || f.withheld):
 		return false
-	case f != nil && f.unsent && c.unsent < maxUnsent:
+	case f != nil && f.unsent && c.unsent < maxUnreachable:
 		c.unsent++
 		return false
 	}
 	return true
 }
 
-// failed is the final answer after a failure that may not be mended.
-func (c *call) failed(f *failure) error {
+// finalError returns the error for the caller after a failure that allows no further send.
+func (c *call) finalError(f *failure) error {
 	switch {
 	case c.ctx.Err() != nil:
-		return c.timedOut()
+		return c.timeoutError()
 	case f.isQuarantined():
-		return c.quarantined(f.err)
+		return c.quarantineError(f.err)
 	case f == nil:
-		return notRun(verdict.NoTarget, "no target of the service can take the request").After(c.comeBackOpen())
+		return notRun(verdict.NoTarget, "no target of the service can take the request").After(c.retryAfterPause())
 	case c.runs > 0:
 		return verdict.Wrap(f.err, verdict.MayHaveRun, verdict.TargetFailed, "the target gave no complete answer")
 	case f.busy:
-		return verdict.Wrap(f.err, verdict.NotRun, verdict.TargetRefused, "the targets of the service are full").After(c.comeBackOpen())
+		return verdict.Wrap(f.err, verdict.NotRun, verdict.TargetRefused, "the targets of the service are full").After(c.retryAfterPause())
 	}
-	return verdict.Wrap(f.err, verdict.NotRun, verdict.NoTarget, "no target of the service was reached").After(c.comeBack())
+	return verdict.Wrap(f.err, verdict.NotRun, verdict.NoTarget, "no target of the service was reached").After(c.retryAfter())
 }
 
-// comeBack is when a new attempt has a fair chance: after a tenth of the
-// objective, when a call of another caller has ended.
-func (c *call) comeBack() time.Duration {
+// retryAfter is the retry delay after which a new attempt has a fair chance: a tenth of the
+// objective, in which a call of another caller has ended.
+func (c *call) retryAfter() time.Duration {
 	return max(c.route.Objective/10, stopRetryAfter)
 }
--- a/internal/passthrough/comeback.go
+++ b/internal/passthrough/comeback.go
@@ -3,33 +3,34 @@
 import "time"
 
 const (
-	// startTime is when a caller may come back to a node that starts while the store answers
-	// it: that takes a few calls of 5 ms and what another node tells.
-	startTime = 300 * time.Millisecond
-	// awayTime is the most that a caller is told to stay away while the store does not
-	// answer a node that has nothing to go by. A caller comes back once or twice: who is told
-	// startTime has used that up before the store is back.
-	awayTime = 2 * time.Second
+	// retryAfterStart is the retry delay while a node starts and the store answers: a start takes
+	// a few store calls of 5 ms each and the tables received from another node.
+	retryAfterStart = 300 * time.Millisecond
+	// maxRetryAfterOutage is the longest retry delay while the store does not answer a node that
+	// has no configuration. A caller retries once or twice: with retryAfterStart it would use up
+	// its retries before the store is back.
+	maxRetryAfterOutage = 2 * time.Second
 )
 
-// comeBackUnready tells when a caller may come back to a node that lacks the configuration
-// that the request needs.
+// retryAfterUnready returns the retry delay for a request to a node that lacks the
+// configuration the request needs.
 //
-// It answers the load of all callers after a loss of all nodes while the store is out of
-// reach: nobody can be served until it is back, and nobody can say when that is. Late is
-// better than refused again, so they are told as long as they heed, up to awayTime; who has
-// little time, or no outage to wait for, comes back soon.
-func comeBackUnready(patience time.Duration, storeAway bool) time.Duration {
+// This case occurs after the loss of all nodes while the store is unreachable, and then for
+// the whole load: no request can be served until the store is back, at an unknown time. A late
+// answer is better than another refusal, so the delay is as long as the caller honours, up to
+// maxRetryAfterOutage. Callers with little time left, or without a store outage to wait for,
+// get a short delay.
+func retryAfterUnready(callerTimeout time.Duration, storeAway bool) time.Duration {
 	if !storeAway {
-		return startTime
+		return retryAfterStart
 	}
-	if patience <= 0 {
-		patience = defaultPatience
+	if callerTimeout <= 0 {
+		callerTimeout = defaultTimeout
 	}
-	return min(max(time.Duration(backShare*float64(patience)), startTime), awayTime)
+	return min(max(time.Duration(maxRetryAfterFraction*float64(callerTimeout)), retryAfterStart), maxRetryAfterOutage)
 }
 
-// comeBackUnready tells it of this request.
-func (c *call) comeBackUnready() time.Duration {
-	return comeBackUnready(c.meta.Patience, c.s.cfg.StoreAway())
+// retryAfterUnready returns the retry delay for this request.
+func (c *call) retryAfterUnready() time.Duration {
+	return retryAfterUnready(c.meta.Patience, c.s.cfg.StoreAway())
 }
--- a/internal/passthrough/engine.go
+++ b/internal/passthrough/engine.go
@@ -6,8 +6,8 @@
 	"topazmoor/internal/targets"
 )
 
-// affinity is the hash of the prompt up to the last part that other requests share, and
-// its length. The last part of all belongs to the request itself.
+// affinity returns the hash of the prompt up to the last part that other requests share, and
+// its length in tokens. The final part of the prompt belongs to the request itself.
 func (p *Prompt) affinity() (hash uint64, shared int) {
 	if p == nil || len(p.Parts) == 0 {
 		return 0, 0
@@ -16,14 +16,14 @@
 	return prefix.Hash, prefix.Tokens
 }
 
-// mostInputs returns the data centre where most of the inputs of a stage lie, and
-// how many bytes lie there.
-func (c *call) mostInputs(in *inputs, stage int) (dataCentre string, bytes int64) {
-	byPlace := make(map[string]int64)
+// inputsDataCentre returns the data centre that holds most of the inputs of a stage, by bytes,
+// and how many bytes it holds.
+func (c *call) inputsDataCentre(in *inputs, stage int) (dataCentre string, bytes int64) {
+	byDataCentre := make(map[string]int64)
 	for _, dep := range c.route.Stages[stage].After {
-		c.addPlaces(byPlace, in, dep)
+		c.addResultBytes(byDataCentre, in, dep)
 	}
-	for dc, n := range byPlace {
+	for dc, n := range byDataCentre {
 		if n > bytes || (n == bytes && dc < dataCentre) {
 			dataCentre, bytes = dc, n
 		}
@@ -31,14 +31,15 @@
 	return dataCentre, bytes
 }
 
-// addPlaces adds the bytes of a stage's results by the data centre where they lie.
-func (c *call) addPlaces(byPlace map[string]int64, in *inputs, stage int) {
+// addResultBytes adds the bytes of a stage's results to the sum of the data centre that holds
+// them.
+func (c *call) addResultBytes(byDataCentre map[string]int64, in *inputs, stage int) {
 	for _, h := range in.get(stage).Handles {
-		byPlace[c.s.cfg.Targets.DataCentreOf(c.s.cfg.Wire.Maker(h))] += c.route.Stages[stage].ResultBytes
+		byDataCentre[c.s.cfg.Targets.DataCentreOf(c.s.cfg.Wire.Maker(h))] += c.route.Stages[stage].ResultBytes
 	}
 }
 
-// engineQuery describes the choice of an engine that reads the given inputs.
+// engineQuery describes the selection of an engine that reads the given inputs.
 func (c *call) engineQuery(in *inputs) *targets.EngineQuery {
 	q := &targets.EngineQuery{}
 	if p := c.meta.Prompt; p != nil {
@@ -50,33 +51,32 @@
 	}
 	q.Inputs = make(map[string]int64)
 	for i := range in.results {
-		c.addPlaces(q.Inputs, in, i)
+		c.addResultBytes(q.Inputs, in, i)
 	}
 	return q
 }
 
 const (
-	// bigResult is the size from which it matters where a result lies, in bytes.
-	bigResult = 500 << 10
-	// keptPrompt is the length of shared parts, in tokens, from which a prompt
-	// rather goes to its own engine than to its inputs.
-	keptPrompt = 1000
+	// largeResultBytes is the size of a result from which the data centre that holds it matters.
+	largeResultBytes = 500 << 10
+	// minAffinityTokens is the length of the shared parts of a prompt from which its cached prefix
+	// at an engine outweighs the location of the inputs.
+	minAffinityTokens = 1000
 )
 
-// makerDataCentre is where the results of a stage should be made; "" for
-// anywhere. A stage that reads much should work near what it reads: each of its
-// pieces fetches all inputs. Big results of requests whose prompt has an engine of
-// its own should lie near that engine; the other requests go to an engine near
-// their results.
-func (c *call) makerDataCentre(in *inputs, stage int) string {
+// producerDataCentre returns the data centre in which the results of a stage should be
+// produced; "" for any. A stage with large inputs runs near them, as each of its pieces
+// fetches all inputs. Large results of requests whose prompt is cached at a certain engine are
+// produced near that engine; other requests go to an engine near their results.
+func (c *call) producerDataCentre(in *inputs, stage int) string {
 	if c.s.cfg.Off.Has(mechanism.MakerPlace) {
 		return ""
 	}
-	if dc, bytes := c.mostInputs(in, stage); bytes*int64(c.pieces(stage)) >= bigResult {
+	if dc, bytes := c.inputsDataCentre(in, stage); bytes*int64(c.pieces(stage)) >= largeResultBytes {
 		return dc
 	}
 	hash, shared := c.meta.Prompt.affinity()
-	if c.route.Stages[stage].ResultBytes < bigResult || shared < keptPrompt {
+	if c.route.Stages[stage].ResultBytes < largeResultBytes || shared < minAffinityTokens {
 		return ""
 	}
 	return c.s.cfg.Targets.Home(c.service, hash, shared, c.regions())
--- a/internal/passthrough/permit.go
+++ b/internal/passthrough/permit.go
@@ -7,25 +7,27 @@
 )
 
 const (
-	// longestTurn is the longest that a request waits for its turn at a target that takes a limited
-	// rate: about how far ahead turns are given out.
-	longestTurn = time.Second
-	// rankStep is how much sooner the turn of a request comes for each rank that it is more
-	// urgent, as in the queues of stage pools.
+	// maxPermitWait is the longest that a request waits for a permit of a rate-limited target:
+	// about as far ahead as permits are granted.
+	maxPermitWait = time.Second
+	// rankStep is how much earlier a request gets its permit for each rank that it is more urgent,
+	// as in the queues of stage pools.
 	rankStep = 150 * time.Millisecond
-	// mostChoices bounds the targets that are chosen in vain for one send.
-	mostChoices = 16
+	// maxPicks bounds the targets that are selected for one send, including those that give no
+	// permit.
+	maxPicks = 16
 )
 
-// choose chooses a target, and waits for the permit that it takes to call it; nil for none.
-func (c *call) choose(q targets.Query) *targets.Lease {
-	q.Latest = c.latestTurn()
-	for range mostChoices {
+// pickTarget selects a target and waits for the permit to call it. It returns nil if there is
+// none.
+func (c *call) pickTarget(q targets.Query) *targets.Lease {
+	q.Latest = c.permitDeadline()
+	for range maxPicks {
 		l := c.s.cfg.Targets.Pick(q)
 		if l == nil {
 			return nil
 		}
-		err := l.Permit(c.ctx, c.turn())
+		err := l.Permit(c.ctx, c.permitOrder())
 		if err == nil {
 			return l
 		}
@@ -37,17 +39,17 @@
 	return nil
 }
 
-// latestTurn is how long the request may wait for its turn, to meet its objective.
-func (c *call) latestTurn() time.Time {
+// permitDeadline is how long the request may wait for a permit and still meet its objective.
+func (c *call) permitDeadline() time.Time {
 	now := time.Now()
 	due := c.arrived.Add(c.route.Objective - c.s.cfg.Targets.Latency(c.service))
-	if most := now.Add(longestTurn); due.After(most) {
-		return most
+	if latest := now.Add(maxPermitWait); due.After(latest) {
+		return latest
 	}
 	return due
 }
 
-// turn orders the requests of this node that wait for the same target.
-func (c *call) turn() time.Time {
+// permitOrder orders the requests of this node that wait for permits of the same target.
+func (c *call) permitOrder() time.Time {
 	return c.arrived.Add(c.route.Objective + time.Duration(c.rank)*rankStep)
 }
--- a/internal/passthrough/plain.go
+++ b/internal/passthrough/plain.go
@@ -13,58 +13,56 @@
 )
 
 const (
-	// wholeBody is the largest answer that is read whole before it is
-	// delivered, in bytes: one that breaks before its end can still be asked
-	// for again.
-	wholeBody = 256 << 10
-	// hedgeFactor times the mean time of a call is when a request that may be
-	// repeated goes to a second target too; near the 95th percentile of calls
-	// that vary by a half.
+	// maxBufferedBody is the largest response, in bytes, that is read completely before it is
+	// delivered: if it ends early, the request can still be repeated.
+	maxBufferedBody = 256 << 10
+	// hedgeFactor times the mean duration of a call is the delay after which a repeatable request
+	// is also sent to a second target. That is near the 95th percentile of calls that vary by a
+	// half.
 	hedgeFactor = 2.5
-	// minHedge keeps small means from causing hedges, and stands for unknown
-	// ones.
+	// minHedge is the shortest hedge delay, so that small means cause no hedges. It is also the
+	// delay while the mean is unknown.
 	minHedge = 40 * time.Millisecond
 )
 
-var errSilent = errors.New("passthrough: the target fell silent")
+var errSilent = errors.New("passthrough: the target sent no data for too long")
 
-// whole is an answer of which the first bytes, or all, were read.
-type whole struct {
+// bufferedAnswer is a response whose body was read completely, or up to maxBufferedBody.
+type bufferedAnswer struct {
 	a     *attempt
 	start []byte
-	// complete says that start is the whole body.
+	// complete reports that start is the whole body.
 	complete bool
 }
 
 // result is the outcome of one attempt of a plain request.
 type result struct {
-	ans *whole
+	ans *bufferedAnswer
 	f   *failure
 }
 
-// plainRun is a request without events on its way through attempts, which may run
-// beside each other.
-type plainRun struct {
+// plainRequest tracks the attempts of a request without events; attempts may run concurrently.
+type plainRequest struct {
 	c   *call
 	ctx context.Context
-	// results holds the results of all attempts, so that they never wait to give
-	// them.
+	// results has capacity for the results of all attempts, so that no attempt blocks on sending
+	// its own.
 	results chan result
 	running int
-	// last is the newest failure, fallback an answer that says the target failed.
+	// last is the newest failure; fallback is a response with a 5xx status.
 	last     *failure
-	fallback *whole
+	fallback *bufferedAnswer
 }
 
-// servePlain sends a request without events, again where that is allowed, and
-// delivers the first good answer.
+// servePlain sends a request without events, repeats it where that is allowed, and delivers
+// the first good response.
 func (c *call) servePlain() {
 	c.s.cfg.Repeats.Request(c.service)
 	ctx, cancel := context.WithCancel(c.ctx)
 	defer cancel()
-	x := &plainRun{c: c, ctx: ctx, results: make(chan result, maxSends)}
+	x := &plainRequest{c: c, ctx: ctx, results: make(chan result, maxSends)}
 	if !x.start(targets.Query{}) {
-		c.refuse(c.failed(x.last))
+		c.refuse(c.finalError(x.last))
 		return
 	}
 	hedges := make(chan bool, 1)
@@ -73,11 +71,12 @@
 	for x.running > 0 {
 		select {
 		case <-c.ctx.Done():
-			c.refuse(c.timedOut())
+			c.refuse(c.timeoutError())
 			return
 		case <-hedge.C:
 			if c.mayHedge() && c.mayRunAgain() {
-				// Another node may be asked; an answer that comes meanwhile does not wait for that.
+				// The budget may need a call to another node; responses that arrive meanwhile are not delayed
+				// by it.
 				go func() { hedges <- c.s.cfg.Repeats.Take(c.ctx, c.service) }()
 			}
 		case allowed := <-hedges:
@@ -86,7 +85,7 @@
 				x.start(targets.Query{Unbounded: true})
 			}
 		case r := <-x.results:
-			if x.take(r) {
+			if x.handleResult(r) {
 				c.deliver(r.ans)
 				return
 			}
@@ -96,11 +95,11 @@
 		c.deliver(x.fallback)
 		return
 	}
-	c.refuse(c.failed(x.last))
+	c.refuse(c.finalError(x.last))
 }
 
-// start makes one more attempt and reports whether there was a target for it.
-func (x *plainRun) start(q targets.Query) bool {
+// start begins one more attempt and reports whether there was a target for it.
+func (x *plainRequest) start(q targets.Query) bool {
 	c := x.c
 	if c.sends >= maxSends {
 		return false
@@ -112,17 +111,16 @@
 		}
 		return false
 	}
-	// Until the attempt proves otherwise the request may have run.
+	// The request may run from here on, until the attempt proves otherwise.
 	c.runs++
 	x.running++
 	go func() { x.results <- c.attemptPlain(x.ctx, l, n) }()
 	return true
 }
 
-// take takes in the result of an attempt. It reports whether its answer is to be
-// delivered; otherwise it makes another attempt where that is allowed and no other
-// one is running.
-func (x *plainRun) take(r result) bool {
+// handleResult processes the result of an attempt. It reports whether the response is to be
+// delivered; otherwise it begins another attempt if that is allowed and none is running.
+func (x *plainRequest) handleResult(r result) bool {
 	c := x.c
 	x.running--
 	switch {
@@ -143,28 +141,28 @@
 	return false
 }
 
-// mayHedge reports whether the request may go to a second target while the first works on
-// it. Where a target ended under it, it runs at one at a time.
+// mayHedge reports whether the request may be sent to a second target while the first
+// processes it. A request during which a target ended runs at one target at a time.
 func (c *call) mayHedge() bool {
 	return c.route.Repeatable() && !c.s.cfg.Off.Has(mechanism.Hedges) && !c.s.cfg.Guard.Suspect(c.digest)
 }
 
-// maxSends bounds the sends of one request, rejected ones included.
+// maxSends bounds the sends of one request, including rejected ones.
 const maxSends = 4
 
-// hedgeAfter is when a second target is asked.
+// hedgeAfter is the delay after which the request is sent to a second target.
 func (c *call) hedgeAfter() time.Duration {
 	mean := c.s.cfg.Targets.Latency(c.service)
 	return max(time.Duration(hedgeFactor*float64(mean)), minHedge)
 }
 
-// attemptPlain makes one attempt and reads its answer.
-func (c *call) attemptPlain(ctx context.Context, l *targets.Lease, n sending) result {
+// attemptPlain sends the request to one target and reads its response.
+func (c *call) attemptPlain(ctx context.Context, l *targets.Lease, n sendInfo) result {
 	a, f := c.send(ctx, l, n, Outgoing{})
 	if f != nil {
 		return result{f: f}
 	}
-	w, err := readWhole(a)
+	w, err := readBuffered(a)
 	if err != nil {
 		a.ans.Body.Close()
 		outcome := targets.Failed
@@ -172,8 +170,8 @@
 			outcome = targets.Abandoned
 		}
 		l.Done(outcome, 0)
-		c.brokeOff(l, n, a.start, ctx.Err() != nil)
-		c.log.Info("answer of target broke off", "target", l.ID, "addr", l.Addr, "digest", c.digest,
+		c.reportInterrupted(l, n, a.start, ctx.Err() != nil)
+		c.log.Info("response of target ended early", "target", l.ID, "addr", l.Addr, "digest", c.digest,
 			"ran_ms", time.Since(a.start).Milliseconds(), "err", err)
 		return result{f: &failure{ran: true, err: err}}
 	}
@@ -181,28 +179,28 @@
 		l.Faulty()
 	}
 	l.Done(targets.Served, time.Since(a.start))
-	c.answered()
+	c.reportAnswered()
 	return result{ans: w}
 }
 
-// readWhole reads an answer to its end if it is not too long.
-func readWhole(a *attempt) (*whole, error) {
-	body, err := io.ReadAll(io.LimitReader(a.ans.Body, wholeBody))
+// readBuffered reads up to maxBufferedBody bytes of a response.
+func readBuffered(a *attempt) (*bufferedAnswer, error) {
+	body, err := io.ReadAll(io.LimitReader(a.ans.Body, maxBufferedBody))
 	if err != nil {
 		return nil, err
 	}
-	w := &whole{a: a, start: body, complete: len(body) < wholeBody}
+	w := &bufferedAnswer{a: a, start: body, complete: len(body) < maxBufferedBody}
 	if w.complete {
 		a.ans.Body.Close()
 	}
 	return w, nil
 }
 
-// deliver sends a target's answer to the caller.
-func (c *call) deliver(w *whole) {
-	if c.left() {
+// deliver sends a target's response to the caller.
+func (c *call) deliver(w *bufferedAnswer) {
+	if c.callerGone() {
 		w.a.ans.Body.Close()
-		c.done("canceled", 0, nil)
+		c.recordDone("canceled", 0, nil)
 		panic(http.ErrAbortHandler)
 	}
 	c.s.cfg.Observer.Began(c.rank, c.estimated, time.Since(c.arrived), c.route.Objective)
@@ -213,21 +211,21 @@
 		w.a.ans.Body.Close()
 	}
 	if err != nil {
-		// The answer must not look complete.
-		c.done("broken_off", w.a.ans.Status, err)
+		// The connection is aborted so that the caller does not take the response for complete.
+		c.recordDone("broken_off", w.a.ans.Status, err)
 		panic(http.ErrAbortHandler)
 	}
-	c.done("", w.a.ans.Status, nil)
+	c.recordDone("", w.a.ans.Status, nil)
 }
 
-// writeHead sends the head of a target's answer.
-func (c *call) writeHead(a *attempt, w *whole) {
+// writeHead sends the status and headers of a target's response.
+func (c *call) writeHead(a *attempt, w *bufferedAnswer) {
 	h := c.w.Header()
 	for name, values := range c.s.cfg.Wire.ToCaller(a.ans.Header) {
 		h[name] = values
 	}
 	if _, ok := h["Content-Type"]; !ok {
-		// net/http would guess one.
+		// A missing type stays missing: net/http would otherwise detect one.
 		h["Content-Type"] = nil
 	}
 	switch {
--- a/internal/passthrough/refuse.go
+++ b/internal/passthrough/refuse.go
@@ -10,12 +10,11 @@
 	"topazmoor/internal/verdict"
 )
 
-// left reports whether the caller is gone, so that no answer reaches it.
-func (c *call) left() bool { return c.r.Context().Err() != nil }
+// callerGone reports whether the caller closed its request, so that no response reaches it.
+func (c *call) callerGone() bool { return c.r.Context().Err() != nil }
 
-// refuse sends the final answer of a request that got none from a target. The
-// status keeps the promise of the verdict: 503 and its like only for what has
-// not run.
+// refuse sends the final response of a request that got none from a target. The status agrees
+// with the verdict: statuses such as 503 are sent only for a request that has not run.
 func (c *call) refuse(err error) {
 	e := verdict.As(verdict.WithPrior(err, c.verdict()))
 	status := frontdoor.StatusOf(e.Code)
@@ -23,11 +22,12 @@
 	case e.Verdict != verdict.NotRun && promisesNotRun(status):
 		status = http.StatusBadGateway
 	case e.Verdict == verdict.NotRun && status > http.StatusInternalServerError:
-		// The promise lets callers send again what may not be repeated.
+		// A 503 promises that the request has not run, so that callers may repeat even a request that
+		// must not run twice.
 		status = http.StatusServiceUnavailable
 	}
-	c.done(e.Code, status, e)
-	if c.left() {
+	c.recordDone(e.Code, status, e)
+	if c.callerGone() {
 		panic(http.ErrAbortHandler)
 	}
 	p := frontdoor.NewProblem(e, c.meta.ID, "")
@@ -44,11 +44,11 @@
 		c.s.cfg.Wire.SetRetryAfter(h, e.RetryAfter)
 	}
 	c.w.WriteHeader(status)
-	// A failed write means that the caller left.
+	// A write fails only if the caller is gone.
 	_, _ = c.w.Write(body)
 }
 
-// promisesNotRun reports whether a status says that the request has not run.
+// promisesNotRun reports whether a status means that the request has not run.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -57,7 +57,7 @@
 	return false
 }
 
-// verdict says whether the request may have run so far.
+// verdict returns whether the request may have run so far.
 func (c *call) verdict() verdict.Verdict {
 	if c.runs > 0 {
 		return verdict.MayHaveRun
@@ -65,11 +65,11 @@
 	return verdict.NotRun
 }
 
-// timedOut is the final answer at the deadline, or of a caller that left, or of
-// a process that ends.
-func (c *call) timedOut() error {
+// timeoutError returns the error for a request that ended by its deadline, by its caller, or
+// by the end of the process.
+func (c *call) timeoutError() error {
 	switch {
-	case c.left():
+	case c.callerGone():
 		return verdict.New(c.verdict(), verdict.Canceled, "the caller left")
 	case c.s.ending.Err() != nil:
 		return verdict.New(c.verdict(), verdict.Stopping, "the node stopped before the request ended").After(stopRetryAfter)
@@ -79,13 +79,12 @@
 	return verdict.New(c.verdict(), verdict.DeadlineExceeded, "no answer came in time")
 }
 
-// stopRetryAfter is when a caller may come back after a stop: at once, to
-// another node.
+// stopRetryAfter is the retry delay named by a stopping node, and the shortest of other
+// refusals: the caller retries almost at once, at another node.
 const stopRetryAfter = 20 * time.Millisecond
 
-// done logs and counts the end of a request. code is empty for an answer of a
-// target.
-func (c *call) done(code verdict.Code, status int, err error) {
+// recordDone logs and counts the end of a request. code is empty for a response of a target.
+func (c *call) recordDone(code verdict.Code, status int, err error) {
 	route, took := "", time.Since(c.arrived)
 	version := int64(0)
 	if c.route != nil {
--- a/internal/passthrough/rest.go
+++ b/internal/passthrough/rest.go
@@ -7,12 +7,14 @@
 	"topazmoor/internal/verdict"
 )
 
-// restSpread is the part of a rest over which the callers that wait for its end come back: all
-// nodes hear of it at the same time, and the target takes one call of each as a trial first.
-const restSpread = 0.3
+// retryJitter is the fraction of a pause over which the retries after its end are spread: all
+// nodes learn of the pause at the same time, and the target first takes one trial call of each
+// node.
+const retryJitter = 0.3
 
-// untilOpen is how long no target of a service may be called; 0 where one may, or none is known.
-func (c *call) untilOpen() time.Duration {
+// timeUntilCallable returns how long all targets of the service pause; 0 if one may be called
+// now, or none is known.
+func (c *call) timeUntilCallable() time.Duration {
 	at, ok := c.s.cfg.Targets.Opens(c.service, c.regions())
 	if !ok || at.IsZero() {
 		return 0
@@ -20,26 +22,26 @@
 	return max(time.Until(at), 0)
 }
 
-// comeBackOpen is when a caller that found no target may come back: when the first of those
-// that rest may be called, or as after any failure.
-func (c *call) comeBackOpen() time.Duration {
-	return max(spread(c.untilOpen()), c.comeBack())
+// retryAfterPause is the retry delay of a caller for which no target was free: until the first
+// pausing target may be called again, but at least retryAfter.
+func (c *call) retryAfterPause() time.Duration {
+	return max(addJitter(c.timeUntilCallable()), c.retryAfter())
 }
 
-// spread adds a part to a wait, so that callers do not come back together.
-func spread(wait time.Duration) time.Duration {
+// addJitter lengthens a wait by a random part, so that callers do not retry at the same time.
+func addJitter(wait time.Duration) time.Duration {
 	if wait <= 0 {
 		return 0
 	}
-	return wait + rand.N(time.Duration(restSpread*float64(wait))+1)
+	return wait + rand.N(time.Duration(retryJitter*float64(wait))+1)
 }
 
-// refuseAtRest refuses a request at once that would find all targets at rest when its stages
-// are done: it would wait for nothing, and its stages would be made in vain.
-func (c *call) refuseAtRest() error {
-	wait := c.untilOpen()
-	if wait <= 0 || wait <= c.onTime().need()-c.firstEventTime() {
+// refuseAllPaused refuses a request at once if all targets will still pause when its stages
+// are done: it would wait in vain, and its stage results would be wasted.
+func (c *call) refuseAllPaused() error {
+	wait := c.timeUntilCallable()
+	if wait <= 0 || wait <= c.onTimeEstimator().timeToAnswer()-c.firstEventTime() {
 		return nil
 	}
-	return notRun(verdict.TargetRefused, "all targets of the service ask for rest").After(c.comeBackOpen())
+	return notRun(verdict.TargetRefused, "all targets of the service ask for rest").After(c.retryAfterPause())
 }
--- a/internal/passthrough/server.go
+++ b/internal/passthrough/server.go
@@ -28,24 +28,25 @@
 	Produce(ctx context.Context, o stagebatch.Order) (stagebatch.Result, error)
 	Estimate(service string, w stagebatch.Work) time.Duration
 	Free(service string, res stagebatch.Result)
-	// FreeIfTight gives up results that were read, but whose reader has not ended, where
-	// their room is needed.
+	// FreeIfTight frees results that were read, but whose reader has not ended, if the target that
+	// holds them is short of memory.
 	FreeIfTight(service string, res stagebatch.Result)
 }
 
-// Guard keeps requests that crash targets away from them; *poison.Guard in production.
+// Guard keeps requests that crash targets away from the targets; *poison.Guard in production.
 type Guard interface {
-	// Admit reports whether a request may be worked on, by what this node knows. Its error
-	// is *poison.Refused, as is that of Send.
+	// Admit returns an error if a request must not be processed, by the state of this node. The
+	// error is *poison.Refused, as is that of Send.
 	Admit(d poison.Digest) error
-	// Send asks whether a request may be sent now, and run for a time; a probe must be sent
-	// alone.
+	// Send returns an error if a request must not be sent now, for a run of the given duration.
+	// For a request in quarantine it claims and returns the probe: the request then has a single
+	// run, at the target with the least other work.
 	Send(ctx context.Context, d poison.Digest, lasts time.Duration) (probe string, err error)
-	// Suspect reports whether a target ended under the request.
+	// Suspect reports whether a target ended during the request.
 	Suspect(d poison.Digest) bool
-	// Ended, Answered and Abandoned tell how a run came out: it broke off at a target, the
-	// target answered, or nothing is known of it. The request should not be sent again before
-	// the channel of Ended has told whether the target ended.
+	// Ended, Answered and Abandoned report the outcome of a run: it broke off at a target, the
+	// target answered, or it gives no evidence. The channel of Ended reports whether the target
+	// ended; the request should not be sent again before.
 	Ended(r poison.Run) <-chan bool
 	Answered(d poison.Digest)
 	Abandoned(d poison.Digest, probe string)
@@ -56,23 +57,23 @@
 	Do(ctx context.Context, addr string, r *httpconn.Request) (*httpconn.Answer, error)
 }
 
-// Observer is told about every request; it must not block.
+// Observer receives the figures of every request; its methods must not block.
 type Observer interface {
 	RequestDone(d Done)
-	// StageDone notes the end of one stage of a request at a pool.
+	// StageDone reports the end of one stage of a request at a pool.
 	StageDone(service string, outcome StageOutcome, took time.Duration)
-	// Began notes that the answer of a request that was admitted began: how long that
-	// was thought to take, how long it took, and within what time it should have.
+	// Began reports that the response of an admitted request began, with the estimated and the
+	// actual time until then and the objective.
 	Began(rank int, estimated, took, objective time.Duration)
 	Repeated(service, why string)
 }
 
-// Done is the end of a request.
+// Done describes the end of a request.
 type Done struct {
 	Rank int
-	// Code is empty for an answer of a target; it is the reason otherwise.
+	// Code is empty for a response of a target; otherwise it is the reason.
 	Code verdict.Code
-	// Verdict says whether the request may have run.
+	// Verdict is whether the request may have run.
 	Verdict verdict.Verdict
 	Took    time.Duration
 }
@@ -89,32 +90,34 @@
 	StageLeft      StageOutcome = "left"
 )
 
-// Config is what a Server is built from.
+// Config holds the settings and dependencies of a Server.
 type Config struct {
-	// Routes returns the configuration in force, or nil before the first.
+	// Routes returns the configuration in force, or nil before the first one.
 	Routes func() *routes.Config
 	// StoreAway reports whether the store does not answer the node.
 	StoreAway func() bool
-	// Slept is for how long the host has been suspended so far; Go's time does not count it.
+	// Slept returns how long the host has been suspended in total; Go's monotonic clock does not
+	// count that time.
 	Slept func() time.Duration
-	// Trusted reports whether what the node knows may be acted on; not after the host stood
-	// still, until it was heard of again.
+	// Trusted reports whether the node's data is recent enough to act on. After a suspension of
+	// the host it is not, until the store has answered again.
 	Trusted func() bool
-	// Current reports whether the configuration can be trusted to be the newest
-	// one: the store was heard lately.
+	// Current reports whether the configuration can be assumed to be the newest one: the store
+	// answered recently.
 	Current func() bool
 	Targets *targets.Table
 	Stages  Stages
 	Sender  Sender
 	Wire    Wire
 	Guard   Guard
-	// Repeats bounds requests that are sent again, by service.
+	// Repeats bounds repeated sends, by service.
 	Repeats *flow.RepeatBudgets
-	// Off are the mechanisms that an experiment switches off.
+	// Off holds the mechanisms that an experiment disables.
 	Off mechanism.Set
-	// BodyBytes bounds a body when the configuration does not.
+	// BodyBytes is the limit of a request body if the configuration sets none.
 	BodyBytes int64
-	// ReadTimeout bounds the reading of a body when the configuration does not.
+	// ReadTimeout bounds the reading of a body, unless the configuration's header timeout is
+	// longer.
 	ReadTimeout time.Duration
 	Observer    Observer
 	Log         *slog.Logger
@@ -124,37 +127,36 @@
 type Server struct {
 	cfg      Config
 	inFlight atomic.Int64
-	// endsAt is when the process ends, in Unix nanoseconds; 0 while it is not
-	// stopping.
+	// endsAt is when the process ends, in Unix nanoseconds; 0 while it is not stopping.
 	endsAt atomic.Int64
 	ending context.Context
-	cut    context.CancelCauseFunc
+	abort  context.CancelCauseFunc
 
 	mu sync.Mutex
-	// calls are the requests in work.
+	// calls holds the requests in progress with their cancel functions.
 	calls map[*call]context.CancelFunc
 }
 
 // New returns a Server.
 func New(cfg Config) *Server {
 	s := &Server{cfg: cfg, calls: make(map[*call]context.CancelFunc)}
-	s.ending, s.cut = context.WithCancelCause(context.Background())
+	s.ending, s.abort = context.WithCancelCause(context.Background())
 	return s
 }
 
-// InFlight returns the number of requests that are being worked on.
+// InFlight returns the number of requests in progress.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
-// Stop makes the server refuse requests that cannot end before the process
-// does, and close connections after their answers.
+// Stop makes the server refuse requests that cannot end before the process does, and close
+// connections after their responses.
 func (s *Server) Stop(endsAt time.Time) { s.endsAt.Store(endsAt.UnixNano()) }
 
-// Cut ends all requests in flight.
-func (s *Server) Cut() { s.cut(errStopping) }
+// Cut cancels all requests in progress.
+func (s *Server) Cut() { s.abort(errStopping) }
 
 var errStopping = errors.New("passthrough: the process ends")
 
-// stopping returns when the process ends; zero while it is not stopping.
+// stopping returns when the process ends; the zero time while it is not stopping.
 func (s *Server) stopping() time.Time {
 	n := s.endsAt.Load()
 	if n == 0 {
@@ -170,37 +172,39 @@
 	r   *http.Request
 	log *slog.Logger
 	cfg *routes.Config
-	// path is the path of the request, as it is on the wire.
+	// path is the escaped path of the request, as received.
 	path    string
 	route   *routes.Route
 	service string
-	// admitted are the regions in which the request might be served when it came.
+	// admitted is the set of regions in which the request might be served when it arrived.
 	admitted region.Set
 	account  string
 	rank     int
 	meta     Meta
 	body     []byte
-	// digest names the request among all attempts of its caller.
+	// digest identifies the request across all attempts of its caller.
 	digest poison.Digest
-	// held is a claimed probe that the stages of the request run under; "" for none.
-	held    string
-	arrived time.Time
-	// deadline is when the final answer is due by a clock that stands while the host is
-	// suspended; slept is for how long it had been when the request came. timeLeft has both.
-	deadline time.Time
-	slept    time.Duration
+	// claimedProbe is the ID of a claimed quarantine probe under which the stages of the request
+	// run; "" for none.
+	claimedProbe string
+	arrived      time.Time
+	// deadline is when the final response is due, by a clock that stops while the host is
+	// suspended. suspendedBefore is the total suspension of the host when the request arrived.
+	// timeLeft combines both.
+	deadline        time.Time
+	suspendedBefore time.Duration
 	// ctx ends when the caller leaves, at the deadline, or when the process ends.
 	ctx context.Context
 
-	// tried lists the targets that were sent the request; runs counts those
-	// that may have run it, sends all that were handed it.
+	// tried lists the targets that the request was sent to. runs counts the sends that may have
+	// run the request, sends all sends.
 	tried []string
 	runs  int
 	sends int
-	// stale counts the sends on kept connections that had been closed, unsent the targets that
-	// were found gone.
+	// stale counts the sends on kept-alive connections that the target had closed; unsent counts
+	// the targets that could not be reached.
 	stale, unsent int
-	// estimated is the time until the answer would begin, as it was admitted.
+	// estimated is the estimate, made at admission, of the time until the response begins.
 	estimated time.Duration
 }
 
@@ -209,7 +213,7 @@
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
 	trusted := s.cfg.Trusted()
-	c := &call{s: s, w: w, r: r, arrived: time.Now(), slept: s.cfg.Slept(), cfg: s.cfg.Routes()}
+	c := &call{s: s, w: w, r: r, arrived: time.Now(), suspendedBefore: s.cfg.Slept(), cfg: s.cfg.Routes()}
 	if !s.stopping().IsZero() {
 		w.Header().Set("Connection", "close")
 	}
@@ -221,8 +225,8 @@
 	defer cancel()
 	defer context.AfterFunc(s.ending, cancel)()
 	c.ctx = ctx
-	s.begin(c, cancel)
-	defer s.end(c)
+	s.register(c, cancel)
+	defer s.unregister(c)
 	if err := c.admit(); err != nil {
 		c.refuse(err)
 		return
@@ -234,16 +238,16 @@
 	c.servePlain()
 }
 
-// accept finds the route and the account, and reads the message.
+// accept finds the route and the client account, and reads the body.
 func (c *call) accept(trusted bool) error {
 	meta, metaErr := c.s.cfg.Wire.ReadMeta(c.r.Header)
 	c.meta = meta
 	c.log = c.s.cfg.Log.With("request", meta.ID)
 	if c.cfg == nil || !c.s.cfg.Targets.Seen() {
-		return notRun(verdict.NotReady, "the node has no configuration yet").After(c.comeBackUnready())
+		return notRun(verdict.NotReady, "the node has no configuration yet").After(c.retryAfterUnready())
 	}
 	if !trusted {
-		return notRun(verdict.NotReady, "the host stood still, and the node looks what has changed").After(c.comeBackUnready())
+		return notRun(verdict.NotReady, "the host stood still, and the node looks what has changed").After(c.retryAfterUnready())
 	}
 	if metaErr != nil {
 		return notRun(verdict.InvalidRequest, "%v", metaErr)
@@ -264,7 +268,7 @@
 		return err
 	}
 	c.service = c.route.Choose(rand.Float64())
-	c.deadline = c.arrived.Add(c.patience())
+	c.deadline = c.arrived.Add(c.timeout())
 	if err := c.readBody(); err != nil {
 		return err
 	}
@@ -272,11 +276,11 @@
 	return nil
 }
 
-// deny refuses what the configuration does not allow. A node that may have
-// missed the newest configuration does not know.
+// deny refuses what the configuration does not allow. If the node may lack the newest
+// configuration, the refusal says that the store is unavailable instead.
 func (c *call) deny(code verdict.Code, reason string) error {
 	if !c.s.cfg.Current() {
-		return notRun(verdict.StoreUnavailable, "%s, but the configuration of this node may be old", reason).After(c.comeBackUnready())
+		return notRun(verdict.StoreUnavailable, "%s, but the configuration of this node may be old", reason).After(c.retryAfterUnready())
 	}
 	return notRun(code, "%s", reason)
 }
@@ -294,24 +298,23 @@
 	return nil
 }
 
-// patience is how long the request is worked on: the route's timeout, or less
-// where the caller waits for less.
-func (c *call) patience() time.Duration {
+// timeout returns how long the request may take: the route's timeout, or the caller's if that
+// is shorter.
+func (c *call) timeout() time.Duration {
 	p := c.route.Timeout
 	if c.meta.Patience > 0 && (p <= 0 || c.meta.Patience < p) {
 		p = c.meta.Patience
 	}
 	if p <= 0 {
-		p = defaultPatience
+		p = defaultTimeout
 	}
 	return p
 }
 
-// defaultPatience bounds requests on routes without a timeout whose callers do
-// not say how long they wait.
-const defaultPatience = 30 * time.Second
+// defaultTimeout bounds requests on routes without a timeout whose callers name none.
+const defaultTimeout = 30 * time.Second
 
-// readBody reads the whole message, so that it can be sent to another target.
+// readBody reads the whole body, so that it can be sent to more than one target.
 func (c *call) readBody() error {
 	limit, timeout := c.s.cfg.BodyBytes, c.s.cfg.ReadTimeout
 	if c.cfg.Limits.BodyBytes > 0 {
@@ -321,7 +324,7 @@
 		timeout = max(timeout, c.cfg.Limits.HeaderTimeout)
 	}
 	if c.r.ContentLength > limit {
-		c.skipBody(limit)
+		c.discardBody(limit)
 		return notRun(verdict.TooLarge, "the body is over %d bytes", limit)
 	}
 	if c.r.ContentLength == 0 {
@@ -343,17 +346,17 @@
 	return nil
 }
 
-// skipTime bounds the reading of a body that is refused; a caller that still sends it
-// does so at the speed of its link.
-const skipTime = 500 * time.Millisecond
+// discardTimeout bounds the reading of a refused body; a caller that is still sending sends at
+// the speed of its link.
+const discardTimeout = 500 * time.Millisecond
 
-// skipBody reads off a body that is too long, up to twice the limit. A connection that is
-// closed while bytes on it are unread is reset, and the refusal is lost with it.
-func (c *call) skipBody(limit int64) {
+// discardBody reads up to twice the limit of a body that is too long. If a connection is
+// closed with unread bytes, the kernel resets it and the caller loses the refusal.
+func (c *call) discardBody(limit int64) {
 	// Not every writer has deadlines; those that do not need none.
-	_ = http.NewResponseController(c.w).SetReadDeadline(time.Now().Add(skipTime))
+	_ = http.NewResponseController(c.w).SetReadDeadline(time.Now().Add(discardTimeout))
 	if _, err := io.CopyN(io.Discard, c.r.Body, 2*limit); err != nil && err != io.EOF {
-		c.log.Debug("body that is too long not read off", "err", err)
+		c.log.Debug("oversized body not read to its end", "err", err)
 	}
 }
 
--- a/internal/passthrough/stages.go
+++ b/internal/passthrough/stages.go
@@ -12,13 +12,13 @@
 	"topazmoor/internal/verdict"
 )
 
-// inputs are the results that a request to an engine reads.
+// inputs are the stage results that a request to an engine reads.
 type inputs struct {
-	// handles name them; nil when the route has no stages.
+	// handles identify the results; nil if the route has no stages.
 	handles []string
 
 	mu sync.Mutex
-	// results holds what must be given up, by stage.
+	// results holds, by stage, the results that are still to be freed.
 	results []stagebatch.Result
 }
 
@@ -34,7 +34,7 @@
 	return in.results[stage]
 }
 
-// take removes the results of a stage, so that they are given up once.
+// take removes and returns the results of a stage, so that they are freed only once.
 func (in *inputs) take(stage int) stagebatch.Result {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -43,7 +43,7 @@
 	return res
 }
 
-// pieces returns the number of results of a stage.
+// pieces returns the number of results that a stage produces.
 func (c *call) pieces(stage int) int {
 	if stage < len(c.meta.Pieces) {
 		return c.meta.Pieces[stage]
@@ -51,20 +51,20 @@
 	return 0
 }
 
-// staged reports whether the request has stages at all.
-func (c *call) staged() bool { return len(c.route.Stages) > 0 && len(c.meta.Pieces) > 0 }
+// hasStages reports whether any stage runs for the request.
+func (c *call) hasStages() bool { return len(c.route.Stages) > 0 && len(c.meta.Pieces) > 0 }
 
-// produceInputs runs the stages of the request. Each starts when those that it
-// reads have ended. Results of a failed run are given up.
+// produceInputs runs the stages of the request. Each stage starts when those that it reads
+// have ended. If a stage fails, the results of all stages are freed.
 func (c *call) produceInputs(ctx context.Context) (*inputs, error) {
 	in := &inputs{results: make([]stagebatch.Result, len(c.route.Stages))}
-	if !c.staged() {
+	if !c.hasStages() {
 		return in, nil
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	readers := c.readers()
-	last, lastStep := c.lastOfLongest(), make(chan struct{})
+	last, lastStep := c.lastOfLongestPath(), make(chan struct{})
 	lastBegins := sync.OnceFunc(func() { close(lastStep) })
 	done := make([]chan struct{}, len(c.route.Stages))
 	for i := range done {
@@ -74,14 +74,14 @@
 	for i := range c.route.Stages {
 		wg.Go(func() {
 			defer close(done[i])
-			if c.await(ctx, done, i) != nil || !c.holdBack(ctx, i, lastStep) {
+			if c.awaitInputs(ctx, done, i) != nil || !c.delayLargeResults(ctx, i, lastStep) {
 				return
 			}
 			if i == last && !c.late(i) {
 				lastBegins()
 			}
 			read := func() {
-				c.inputsRead(in, readers, i)
+				c.freeReadIfTight(in, readers, i)
 				if i == last {
 					lastBegins()
 				}
@@ -91,24 +91,24 @@
 				cancel(err)
 				return
 			}
-			c.releaseRead(in, readers, i)
+			c.freeRead(in, readers, i)
 			in.set(i, res)
 		})
 	}
 	wg.Wait()
 	if err := context.Cause(ctx); err != nil {
-		c.release(in)
+		c.freeResults(in)
 		return nil, err
 	}
-	in.handles = c.lastHandles(in)
+	in.handles = c.finalHandles(in)
 	return in, nil
 }
 
-// await waits for the stages that stage i reads.
-func (c *call) await(ctx context.Context, done []chan struct{}, i int) error {
+// awaitInputs waits for the stages that stage i reads.
+func (c *call) awaitInputs(ctx context.Context, done []chan struct{}, i int) error {
 	for _, dep := range c.route.Stages[i].After {
 		if dep < 0 || dep >= i {
-			// The store accepts no such configuration; waiting would never end.
+			// The store accepts no such configuration; the wait would never end.
 			return errors.New("a stage waits for a later one")
 		}
 		select {
@@ -120,14 +120,14 @@
 	return ctx.Err()
 }
 
-// holdMargin is how much sooner than estimated a stage is started that need not
-// be done before another branch: estimates err by about that.
-const holdMargin = 250 * time.Millisecond
+// delayMargin is how much earlier than estimated a delayed stage starts: estimates err by
+// about that.
+const delayMargin = 250 * time.Millisecond
 
-// lastOfLongest returns the last stage on the longest path, or -1 when there is
-// only one path.
-func (c *call) lastOfLongest() int {
-	est := c.onTime()
+// lastOfLongestPath returns the last stage of the longest path, or -1 if no path has more than
+// one stage.
+func (c *call) lastOfLongestPath() int {
+	est := c.onTimeEstimator()
 	best, longest := -1, time.Duration(0)
 	for i := range c.route.Stages {
 		if est.after(i) > 0 || c.pieces(i) == 0 || len(c.route.Stages[i].After) == 0 {
@@ -140,17 +140,17 @@
 	return best
 }
 
-// holdBack delays a stage with big results that no other stage reads until the
-// longest path is about to end, because the results would only take room at
-// their maker meanwhile. lastStep is closed when the last stage of that path
-// starts. It reports whether ctx still lasts.
-func (c *call) holdBack(ctx context.Context, i int, lastStep <-chan struct{}) bool {
+// delayLargeResults delays a stage with large results, if it reads no other stage and none
+// reads it, until the longest path is about to end: the results would otherwise occupy memory
+// at their producer for no use. lastStep is closed when the last stage of that path starts. It
+// reports whether ctx is still active.
+func (c *call) delayLargeResults(ctx context.Context, i int, lastStep <-chan struct{}) bool {
 	st := c.route.Stages[i]
-	if c.s.cfg.Off.Has(mechanism.LateBigResults) || st.ResultBytes < bigResult || len(st.After) > 0 || c.onTime().after(i) > 0 || c.pieces(i) == 0 || c.lastOfLongest() < 0 {
+	if c.s.cfg.Off.Has(mechanism.LateBigResults) || st.ResultBytes < largeResultBytes || len(st.After) > 0 || c.onTimeEstimator().after(i) > 0 || c.pieces(i) == 0 || c.lastOfLongestPath() < 0 {
 		return true
 	}
-	est := c.onTime()
-	slack := est.all() - est.stage(i) - holdMargin
+	est := c.onTimeEstimator()
+	slack := est.all() - est.stage(i) - delayMargin
 	if slack <= 0 {
 		return true
 	}
@@ -165,10 +165,10 @@
 	return true
 }
 
-// late reports whether stage i will presumably not be done in time for the request to
-// meet its objective.
+// late reports whether stage i is estimated to end too late for the request to meet its
+// objective.
 func (c *call) late(i int) bool {
-	return c.due(i).Before(time.Now().Add(c.onTime().stage(i)))
+	return c.due(i).Before(time.Now().Add(c.onTimeEstimator().stage(i)))
 }
 
 // produceStage runs one stage.
@@ -181,7 +181,7 @@
 	o := stagebatch.Order{
 		Service: st.Service, Request: c.meta.ID, Stage: i, Pieces: n, Priority: c.rank,
 		Due: c.due(i), Deadline: c.stageDeadline(i), ResultBytes: st.ResultBytes,
-		DataCentre: c.makerDataCentre(in, i), InputsRead: inputsRead, Digest: c.digest, Probe: c.held, Regions: c.regions(),
+		DataCentre: c.producerDataCentre(in, i), InputsRead: inputsRead, Digest: c.digest, Probe: c.claimedProbe, Regions: c.regions(),
 	}
 	if len(st.After) == 0 {
 		o.Key = c.meta.PieceKey
@@ -203,7 +203,7 @@
 	return res, err
 }
 
-// stageOutcome names the end of a stage.
+// stageOutcome classifies the end of a stage.
 func stageOutcome(ctx context.Context, err error) StageOutcome {
 	switch {
 	case err == nil:
@@ -218,20 +218,20 @@
 	return StageFailed
 }
 
-// due is when stage i should have ended for the request to meet its objective:
-// the time of the stages after it and of the engine's first event is kept free.
+// due is when stage i must have ended for the request to meet its objective: the estimated
+// time of the stages after it and of the engine's first event is reserved.
 func (c *call) due(i int) time.Time {
-	return c.arrived.Add(c.route.Objective - c.firstEventTime() - c.onTime().after(i))
+	return c.arrived.Add(c.route.Objective - c.firstEventTime() - c.onTimeEstimator().after(i))
 }
 
-// stageDeadline is when the results of stage i are of no use any more: the answer could
-// not begin by the request's deadline. Estimates err, so that less than the estimated
-// time of what follows is kept free.
+// stageDeadline is when the results of stage i become useless, because the response could not
+// begin by the request's deadline. Estimates err, so only the fraction admissionFraction of
+// the time of the later steps is reserved.
 func (c *call) stageDeadline(i int) time.Time {
-	return time.Now().Add(c.timeLeft() - time.Duration(admitShare*float64(c.onTime().after(i)+c.firstEventTime())))
+	return time.Now().Add(c.timeLeft() - time.Duration(admissionFraction*float64(c.onTimeEstimator().after(i)+c.firstEventTime())))
 }
 
-// readers counts, by stage, the stages that read its results.
+// readers returns, by stage, the number of stages that read its results.
 func (c *call) readers() []atomic.Int32 {
 	out := make([]atomic.Int32, len(c.route.Stages))
 	for _, st := range c.route.Stages {
@@ -242,9 +242,9 @@
 	return out
 }
 
-// inputsRead gives up early, where their makers are short of room, the results that only
-// stage i was still to read, and has read.
-func (c *call) inputsRead(in *inputs, readers []atomic.Int32, i int) {
+// freeReadIfTight frees results early, if their producer is short of memory. It applies to
+// results whose only remaining reader is stage i, which has read them.
+func (c *call) freeReadIfTight(in *inputs, readers []atomic.Int32, i int) {
 	if c.s.cfg.Off.Has(mechanism.EarlyRelease) {
 		return
 	}
@@ -255,8 +255,8 @@
 	}
 }
 
-// releaseRead gives up the results that only stage i, which has ended, was still to read.
-func (c *call) releaseRead(in *inputs, readers []atomic.Int32, i int) {
+// freeRead frees the results whose only remaining reader was stage i, which has ended.
+func (c *call) freeRead(in *inputs, readers []atomic.Int32, i int) {
 	for _, dep := range c.route.Stages[i].After {
 		if readers[dep].Add(-1) == 0 {
 			c.s.cfg.Stages.Free(c.route.Stages[dep].Service, in.take(dep))
@@ -264,8 +264,8 @@
 	}
 }
 
-// lastHandles returns the results of the stages that no other stage reads.
-func (c *call) lastHandles(in *inputs) []string {
+// finalHandles returns the results of the stages that no other stage reads.
+func (c *call) finalHandles(in *inputs) []string {
 	read := make(map[int]bool)
 	for _, st := range c.route.Stages {
 		for _, dep := range st.After {
@@ -281,8 +281,8 @@
 	return out
 }
 
-// release gives up the results of all stages.
-func (c *call) release(in *inputs) {
+// freeResults frees the results of all stages.
+func (c *call) freeResults(in *inputs) {
 	if in == nil {
 		return
 	}
@@ -291,19 +291,19 @@
 	}
 }
 
-// stageFailure is the final answer when the stages failed; the request itself
-// has not run.
-func (c *call) stageFailure(err error) error {
+// stageError returns the error for the caller when the stages failed; the request itself has
+// not run.
+func (c *call) stageError(err error) error {
 	if c.ctx.Err() != nil {
-		return c.timedOut()
+		return c.timeoutError()
 	}
 	switch {
 	case errors.Is(err, stagebatch.ErrLate):
-		return verdict.Wrap(err, verdict.NotRun, verdict.DeadlineUnreachable, "the stages cannot be done in time").After(c.comeBack())
+		return verdict.Wrap(err, verdict.NotRun, verdict.DeadlineUnreachable, "the stages cannot be done in time").After(c.retryAfter())
 	case errors.Is(err, stagebatch.ErrCrashed):
-		return c.quarantined(err)
+		return c.quarantineError(err)
 	case errors.Is(err, stagebatch.ErrNoTarget):
-		return verdict.Wrap(err, verdict.NotRun, verdict.NoTarget, "a stage has no target").After(c.comeBack())
+		return verdict.Wrap(err, verdict.NotRun, verdict.NoTarget, "a stage has no target").After(c.retryAfter())
 	}
-	return verdict.Wrap(err, verdict.NotRun, verdict.TargetFailed, "a stage failed").After(c.comeBack())
+	return verdict.Wrap(err, verdict.NotRun, verdict.TargetFailed, "a stage failed").After(c.retryAfter())
 }
--- a/internal/passthrough/stream.go
+++ b/internal/passthrough/stream.go
@@ -14,46 +14,45 @@
 )
 
 const (
-	// stallFactor times the mean time to the first event, at least minStall, is
-	// how long an engine may be silent before a stream that may be resumed goes
-	// to another one. A sound engine may take more than a second while it reads long
-	// prompts, and to leave it costs a second reading of the prompt; callers wait four
-	// times the objective.
-	stallFactor = 4
-	minStall    = 2500 * time.Millisecond
-	// gapFactor times the longest pause that is still in time, at least minGap, is the
-	// same for later events. Callers give up after eight times that pause, and not before
-	// two seconds.
-	gapFactor = 3
-	minGap    = 2 * time.Second
-	// presumedGap stands for a route that names no longest pause.
-	presumedGap = 500 * time.Millisecond
+	// stallFactor times the mean time to the first event, but at least minStallTimeout, is how
+	// long an engine may send nothing before a resumable stream moves to another engine. A healthy
+	// engine may take more than a second to process long prompts, and moving costs a second
+	// processing of the prompt; callers wait for four times the objective.
+	stallFactor     = 4
+	minStallTimeout = 2500 * time.Millisecond
+	// gapFactor times the longest pause between events that is still in time, but at least
+	// minGapTimeout, is the same limit for later events. Callers give up after eight times that
+	// pause, and not before two seconds.
+	gapFactor     = 3
+	minGapTimeout = 2 * time.Second
+	// defaultMaxGap is the longest pause between events for a route that sets none.
+	defaultMaxGap = 500 * time.Millisecond
 )
 
-// serveStream runs the stages, sends the request to an engine and passes its
-// events on, at another engine where the stream may be resumed.
+// serveStream runs the stages, sends the request to an engine and passes its events on. A
+// resumable stream continues at another engine after a failure.
 func (c *call) serveStream() {
 	c.s.cfg.Repeats.Request(c.service)
-	x := &streaming{c: c, last: c.meta.LastEvent}
-	defer func() { c.release(x.in) }()
-	defer c.drop()
+	x := &streaming{c: c, lastEvent: c.meta.LastEvent}
+	defer func() { c.freeResults(x.in) }()
+	defer c.releaseProbe()
 	for {
 		if x.in == nil {
-			if err := c.hold(); err != nil {
-				x.end(c.quarantined(err))
+			if err := c.claimProbe(); err != nil {
+				x.end(c.quarantineError(err))
 				return
 			}
 			in, err := c.produceInputs(c.ctx)
 			if errors.Is(err, stagebatch.ErrCrashed) {
-				// The former told of it, and of the probe.
-				c.held = ""
+				// The node that forms the batches has reported the outcome of the run and of the probe.
+				c.claimedProbe = ""
 			}
-			if mayRedo(err) && x.redone < maxRedo && c.ctx.Err() == nil {
-				x.redone++
+			if mayRerunStages(err) && x.stageReruns < maxStageReruns && c.ctx.Err() == nil {
+				x.stageReruns++
 				continue
 			}
 			if err != nil {
-				x.end(c.stageFailure(err))
+				x.end(c.stageError(err))
 				return
 			}
 			x.in = in
@@ -62,65 +61,62 @@
 		if f == nil {
 			return
 		}
-		if f.inputGone && x.redone < maxRedo && c.ctx.Err() == nil {
-			// The engine did not run the request; its inputs have lapsed.
-			x.redone++
-			x.giveUpInputs()
-			// The engine is not to blame.
+		if f.inputGone && x.stageReruns < maxStageReruns && c.ctx.Err() == nil {
+			// The engine did not run the request; its inputs no longer exist.
+			x.stageReruns++
+			x.freeInputs()
+			// The engine did not fail, so it may be selected again.
 			c.tried = c.tried[:len(c.tried)-1]
 			continue
 		}
-		if f.none || !c.mayRepeat(f, f.why()) {
-			x.end(c.failed(f))
+		if f.noResend || !c.mayRepeat(f, f.reason()) {
+			x.end(c.finalError(f))
 			return
 		}
 	}
 }
 
-// mayRedo reports whether stages that failed may run again: their inputs were gone, or their
-// targets ended, in which case the guard decides.
-func mayRedo(err error) bool {
+// mayRerunStages reports whether failed stages may run again: their inputs no longer existed,
+// or their targets ended, in which case the guard decides.
+func mayRerunStages(err error) bool {
 	return errors.Is(err, stagebatch.ErrInputGone) || errors.Is(err, stagebatch.ErrCrashed)
 }
 
-// maxRedo is how often the stages of a request run again because their results
-// were gone.
-const maxRedo = 2
+// maxStageReruns is how often the stages of a request run again.
+const maxStageReruns = 2
 
-// streaming is one stream on its way to the caller.
+// streaming is the state of one stream to the caller.
 type streaming struct {
 	c *call
-	// started says that the head was sent to the caller.
+	// started reports that the head was sent to the caller.
 	started bool
-	// last is the ID of the last event that was sent to the caller.
-	last   string
-	events int
-	redone int
-	// in are the results that the next engine reads; nil when they must be
-	// produced.
+	// lastEvent is the ID of the last event that was sent to the caller.
+	lastEvent   string
+	events      int
+	stageReruns int
+	// in holds the results that the next engine reads; nil if they must be produced.
 	in *inputs
 }
 
-// giveUpInputs frees the results of the stages.
-func (x *streaming) giveUpInputs() {
-	x.c.release(x.in)
+// freeInputs frees the results of the stages.
+func (x *streaming) freeInputs() {
+	x.c.freeResults(x.in)
 	x.in = nil
 }
 
-// end finishes a stream that did not come to its end: by a refusal, or, once
-// events were sent, by breaking the connection, so that it does not look
-// complete.
+// end finishes a stream that is incomplete: by a refusal, or, once the head was sent, by
+// aborting the connection, so that the response does not look complete.
 func (x *streaming) end(err error) {
 	if !x.started {
 		x.c.refuse(err)
 		return
 	}
-	x.c.done("broken_off", http.StatusOK, err)
+	x.c.recordDone("broken_off", http.StatusOK, err)
 	panic(http.ErrAbortHandler)
 }
 
-// run sends the request to one engine and passes its events on. It returns nil
-// when the stream is complete.
+// run sends the request to one engine and passes its events on. It returns nil when the
+// response to the caller is complete.
 func (x *streaming) run() *failure {
 	c := x.c
 	l, n, f := c.nextSend(targets.Query{Engine: c.engineQuery(x.in)})
@@ -129,7 +125,7 @@
 	}
 	ctx, cancel := context.WithCancelCause(c.ctx)
 	defer cancel(nil)
-	// A silent engine is given up only where the stream may go on elsewhere.
+	// A silent engine is abandoned only if the stream may continue elsewhere.
 	watchdog := newWatchdog(func() bool {
 		if !c.s.cfg.Repeats.Take(c.ctx, c.service) {
 			return false
@@ -139,37 +135,37 @@
 	})
 	defer watchdog.stop()
 	if c.route.Resumable && c.runs-c.stale+1 < c.route.MaxAttempts && !c.s.cfg.Off.Has(mechanism.SilentEngines) {
-		watchdog.watch(max(stallFactor*c.firstEventTime(), minStall))
+		watchdog.watch(max(stallFactor*c.firstEventTime(), minStallTimeout))
 	}
 	c.runs++
-	a, f := c.send(ctx, l, n, Outgoing{Inputs: x.in.handles, LastEvent: x.last, CopyFrom: l.CopyFrom})
+	a, f := c.send(ctx, l, n, Outgoing{Inputs: x.in.handles, LastEvent: x.lastEvent, CopyFrom: l.CopyFrom})
 	if f != nil {
 		if !f.ran {
 			c.runs--
 		}
-		f.paid = watchdog.fired()
+		f.budgetCharged = watchdog.fired()
 		return f
 	}
 	defer a.ans.Body.Close()
 	if a.ans.Status != http.StatusOK {
-		return x.pass(a)
+		return x.deliverPlain(a)
 	}
-	return x.relay(ctx, a, watchdog)
+	return x.relayEvents(ctx, a, watchdog)
 }
 
-// pass delivers an answer that is no stream.
-func (x *streaming) pass(a *attempt) *failure {
-	w, err := readWhole(a)
+// deliverPlain delivers a response that is not a stream.
+func (x *streaming) deliverPlain(a *attempt) *failure {
+	w, err := readBuffered(a)
 	if err != nil {
 		a.lease.Done(targets.Failed, 0)
-		x.c.brokeOff(a.lease, a.n, a.start, x.c.ctx.Err() != nil)
+		x.c.reportInterrupted(a.lease, a.n, a.start, x.c.ctx.Err() != nil)
 		return &failure{ran: true, err: err}
 	}
 	if a.ans.Status >= http.StatusInternalServerError {
 		a.lease.Faulty()
 	}
 	a.lease.Done(targets.Served, 0)
-	x.c.answered()
+	x.c.reportAnswered()
 	if x.started || (x.c.route.Resumable && a.ans.Status >= http.StatusInternalServerError && x.c.runs < x.c.route.MaxAttempts) {
 		return &failure{ran: true, err: errors.New("the engine answered with a failure")}
 	}
@@ -177,31 +173,31 @@
 	return nil
 }
 
-// relay passes the events of an answer on until its end.
-func (x *streaming) relay(ctx context.Context, a *attempt, watchdog *watchdog) *failure {
+// relayEvents passes the events of a response on until its end.
+func (x *streaming) relayEvents(ctx context.Context, a *attempt, watchdog *watchdog) *failure {
 	c := x.c
 	events := sse.NewReader(a.ans.Body)
 	flush := http.NewResponseController(c.w)
 	gap := c.route.MaxGap
 	if gap <= 0 {
-		gap = presumedGap
+		gap = defaultMaxGap
 	}
-	mayMove := c.route.Resumable && c.runs-c.stale < c.route.MaxAttempts && !c.s.cfg.Off.Has(mechanism.SilentEngines)
+	mayResume := c.route.Resumable && c.runs-c.stale < c.route.MaxAttempts && !c.s.cfg.Off.Has(mechanism.SilentEngines)
 	first := true
 	for {
 		ev, err := events.Next()
 		if err == io.EOF {
 			a.lease.Done(targets.Served, 0)
-			c.answered()
+			c.reportAnswered()
 			if !x.started {
-				x.head(a)
+				x.sendHead(a)
 			}
-			c.done("", http.StatusOK, nil)
+			c.recordDone("", http.StatusOK, nil)
 			return nil
 		}
 		if err != nil {
-			f := x.broken(ctx, a, err)
-			f.paid = watchdog.fired()
+			f := x.recordInterrupted(ctx, a, err)
+			f.budgetCharged = watchdog.fired()
 			return f
 		}
 		if first {
@@ -209,20 +205,20 @@
 			a.lease.PromptRead()
 			a.lease.FirstEvent(time.Since(a.start))
 			c.s.cfg.Observer.Began(c.rank, c.estimated, time.Since(c.arrived), c.route.Objective)
-			x.giveUpInputs()
+			x.freeInputs()
 		}
-		if mayMove {
-			watchdog.watch(max(time.Duration(gapFactor*float64(gap)), minGap))
+		if mayResume {
+			watchdog.watch(max(time.Duration(gapFactor*float64(gap)), minGapTimeout))
 		}
 		if !x.started {
-			x.head(a)
+			x.sendHead(a)
 		}
 		if _, err := c.w.Write(ev.Raw); err != nil {
 			return x.callerLeft(a, err)
 		}
 		x.events++
 		if ev.ID != "" {
-			x.last = ev.ID
+			x.lastEvent = ev.ID
 		}
 		if !events.Buffered() {
 			if err := flush.Flush(); err != nil {
@@ -232,28 +228,28 @@
 	}
 }
 
-// head sends the head of the answer to the caller, once.
-func (x *streaming) head(a *attempt) {
+// sendHead sends the head of the response to the caller.
+func (x *streaming) sendHead(a *attempt) {
 	x.started = true
 	x.c.writeHead(a, nil)
 }
 
-// broken notes a stream that ended before its end.
-func (x *streaming) broken(ctx context.Context, a *attempt, err error) *failure {
+// recordInterrupted records a stream that ended early.
+func (x *streaming) recordInterrupted(ctx context.Context, a *attempt, err error) *failure {
 	outcome := targets.Failed
 	if x.c.ctx.Err() != nil {
 		outcome = targets.Abandoned
 	}
 	a.lease.Done(outcome, 0)
-	x.c.log.Info("stream broke off", "target", a.lease.ID, "addr", a.lease.Addr, "digest", x.c.digest, "events", x.events, "last", x.last,
+	x.c.log.Info("stream of target ended early", "target", a.lease.ID, "addr", a.lease.Addr, "digest", x.c.digest, "events", x.events, "last", x.lastEvent,
 		"ran_ms", time.Since(a.start).Milliseconds(), "silent", errors.Is(context.Cause(ctx), errSilent), "err", err)
-	x.c.brokeOff(a.lease, a.n, a.start, ctx.Err() != nil)
+	x.c.reportInterrupted(a.lease, a.n, a.start, ctx.Err() != nil)
 	return &failure{ran: true, err: err}
 }
 
-// callerLeft notes that events can no longer be sent to the caller.
+// callerLeft records that events can no longer be sent to the caller.
 func (x *streaming) callerLeft(a *attempt, err error) *failure {
 	a.lease.Done(targets.Abandoned, 0)
-	x.c.abandoned(a.n)
-	return &failure{ran: true, none: true, err: err}
+	x.c.reportAbandoned(a.n)
+	return &failure{ran: true, noResend: true, err: err}
 }
--- a/internal/passthrough/suspended.go
+++ b/internal/passthrough/suspended.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// timeLeft returns how long the request is still of use, by a clock that goes on while the host
-// is suspended: its caller's does.
+// timeLeft returns the time until the deadline, less the time for which the host was suspended
+// since the request arrived: the caller's clock kept running.
 func (c *call) timeLeft() time.Duration {
-	return time.Until(c.deadline) - (c.s.cfg.Slept() - c.slept)
+	return time.Until(c.deadline) - (c.s.cfg.Slept() - c.suspendedBefore)
 }
 
-// begin notes a request in work, and how to end it.
-func (s *Server) begin(c *call, cancel context.CancelFunc) {
+// register adds a request in progress with its cancel function.
+func (s *Server) register(c *call, cancel context.CancelFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls[c] = cancel
 }
 
-func (s *Server) end(c *call) {
+func (s *Server) unregister(c *call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.calls, c)
 }
 
-// Woke tells that the host was suspended. Requests whose time has passed meanwhile end now,
-// the others when it does: their contexts rest on a clock that stood still.
+// Woke is called after the host was suspended for gap. Requests whose deadline has passed end
+// now, the others at their deadline: the timers of their contexts run on a clock that stopped
+// meanwhile.
 func (s *Server) Woke(gap time.Duration) {
 	if n := s.endsAt.Load(); n != 0 {
 		s.endsAt.Store(n - int64(gap))
--- a/internal/passthrough/wire.go
+++ b/internal/passthrough/wire.go
@@ -1,8 +1,8 @@
-// Package passthrough serves requests whose last call is the caller's own HTTP
-// message: it goes to a target with its bytes unchanged, after the stages of
-// its route, and the target's answer comes back with its bytes unchanged. The
-// life of a request is accept (route, account, body), admit, stages, send,
-// deliver; each answers once.
+// Package passthrough serves requests whose last call is the caller's own HTTP message. After
+// the stages of its route have run, the message is sent to a target with its bytes unchanged,
+// and the target's response is returned with its bytes unchanged. A request passes through
+// accept (route, client account, body), admission, stages, send and delivery. The step at
+// which it ends sends its only response.
 package passthrough
 
 import (
@@ -15,7 +15,7 @@
 	"topazmoor/internal/targets"
 )
 
-// Meta is what a caller says about its request, beside the message itself.
+// Meta holds what the headers of a caller say about its request.
 type Meta struct {
 	// ID is the request's ID; each attempt of a caller has its own.
 	ID string
@@ -25,14 +25,14 @@
 	Credential string
 	// Prompt is set for requests to model engines.
 	Prompt *Prompt
-	// Pieces is the number of results of each stage; 0 leaves a stage out.
+	// Pieces is the number of results of each stage; 0 skips a stage.
 	Pieces []int
-	// PieceKey is handed to stages that read no results.
+	// PieceKey is passed to the stages that read no results.
 	PieceKey string
 	// LastEvent is the last event that the caller has; "" for none.
 	LastEvent string
-	// VersionBound says that only a target with certain weights may run the request:
-	// others answer as if another process had their address.
+	// VersionBound reports that only a target with certain weights may run the request. Other
+	// targets answer as if another process had their address.
 	VersionBound bool
 }
 
@@ -41,63 +41,61 @@
 	Model string
 	// Tokens is the length of the prompt.
 	Tokens int
-	// Parts are the parts of the prompt in order. Requests share parts; the last
-	// one belongs to the request or its session.
+	// Parts are the parts of the prompt in order. Requests share parts; the last part belongs to
+	// the request or its session.
 	Parts []promptcache.Part
 }
 
-// Outgoing is what the system itself tells a target about a request.
+// Outgoing holds what the node adds to a request that is sent to a target.
 type Outgoing struct {
 	// Target is the ID of the process that must answer.
 	Target string
 	// Account is the client account; "" for none.
 	Account string
-	// Remaining is how long the answer is of use.
+	// Remaining is how long the response is of use.
 	Remaining time.Duration
-	// Rank is the request's priority among others; 0 is the most urgent.
+	// Rank is the request's rank of urgency; 0 is the most urgent.
 	Rank int
-	// Inputs are the results of the last stages; nil for requests without.
+	// Inputs are the handles of the results of the final stages; nil for a request without.
 	Inputs []string
 	// LastEvent, when set, makes the target go on after that event.
 	LastEvent string
-	// CopyFrom is the address of another engine, from which the target copies what it
-	// lacks of the prompt; "" for none.
+	// CopyFrom is the address of another engine from which the target copies the part of the
+	// prompt's cache that it lacks; "" for none.
 	CopyFrom string
 }
 
-// Told is what a target says about its answer.
+// Told holds what the headers of a target say about its response and itself.
 type Told struct {
-	// NotRun is the target's word that it did not run the request.
+	// NotRun reports that the target did not run the request.
 	NotRun bool
-	// Moved says that another process has the address.
+	// Moved reports that another process has the address.
 	Moved bool
-	// Signed says that the answer bears the target's signature.
+	// Signed reports that the response carries the target's signature.
 	Signed bool
-	// InputGone says that a stage result is no longer there.
+	// InputGone reports that a stage result no longer exists.
 	InputGone bool
-	// Load is the target's load; nil when it does not tell.
+	// Load is the target's load; nil if it does not report any.
 	Load *targets.Load
-	// Notice is what the target says of whether it takes work.
+	// Notice is the target's announcement of whether it accepts requests.
 	Notice readiness.Notice
-	// Limit is what the target says of the rate of requests that it takes.
+	// Limit is the rate of requests that the target advertises as its limit.
 	Limit sharedrate.Word
 }
 
-// Wire translates between messages and the types above; platform/ has the real
-// one.
+// Wire translates between HTTP headers and the types above; package platform implements it.
 type Wire interface {
-	// ReadMeta reads what a caller says. An error says what is wrong.
+	// ReadMeta reads the headers of a caller. Its error states what is wrong with them.
 	ReadMeta(h http.Header) (Meta, error)
-	// ToTarget returns the headers that go to a target: the caller's own, less
-	// those that concern one connection or the credential, and the system's.
+	// ToTarget returns the headers that are sent to a target: the caller's, without those of a
+	// single connection and the credential, and those of the node.
 	ToTarget(in http.Header, o Outgoing) http.Header
-	// FromTarget reads what a target says of its answer.
+	// FromTarget reads the headers of a target's response.
 	FromTarget(status int, h http.Header) Told
-	// ToCaller returns the headers of an answer that go to the caller.
+	// ToCaller returns the headers of a response that are sent to the caller.
 	ToCaller(h http.Header) http.Header
-	// Maker returns the address (IP:port) of the target that holds a stage
-	// result.
+	// Maker returns the address (IP:port) of the target that holds a stage result.
 	Maker(handle string) string
-	// SetRetryAfter tells a caller when to come back.
+	// SetRetryAfter sets the retry delay in the headers of a refusal.
 	SetRetryAfter(h http.Header, after time.Duration)
 }
