--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// defaultHeaderBytes, defaultHeaderTimeout and defaultIdleTimeout hold until
-	// a configuration says otherwise.
+	// defaultHeaderBytes, defaultHeaderTimeout and defaultIdleTimeout apply unless a configuration
+	// sets other values.
 	defaultHeaderBytes   = 16 << 10
 	defaultHeaderTimeout = 5 * time.Second
 	defaultIdleTimeout   = 60 * time.Second
-	// idleSlack is added to the idle timeout: callers use connections up to it.
+	// idleSlack is added to the idle timeout: callers use connections up to the end of it.
 	idleSlack = 2 * time.Second
 )
 
-// callers accepts the connections of callers. When the configuration changes
-// its limits, new connections get a server with the new ones, and connections
-// that are open keep theirs. It implements suture.Service.
-type callers struct {
+// callerServer accepts the connections of callers. When the configuration changes its limits,
+// new connections are served with the new limits, and open connections keep theirs. It
+// implements suture.Service.
+type callerServer struct {
 	ln      net.Listener
 	handler http.Handler
 	log     *slog.Logger
@@ -40,24 +40,24 @@
 	closed  bool
 }
 
-func newCallers(ln net.Listener, h http.Handler, log *slog.Logger) *callers {
-	c := &callers{ln: ln, handler: h, log: log}
-	c.swap(routes.Limits{})
+func newCallerServer(ln net.Listener, h http.Handler, log *slog.Logger) *callerServer {
+	c := &callerServer{ln: ln, handler: h, log: log}
+	c.replaceServer(routes.Limits{})
 	return c
 }
 
-// setLimits swaps the server if the limits changed.
-func (c *callers) setLimits(l routes.Limits) {
+// setLimits replaces the HTTP server if the limits changed.
+func (c *callerServer) setLimits(l routes.Limits) {
 	c.mu.Lock()
 	same := l == c.limits
 	c.mu.Unlock()
 	if !same {
-		c.swap(l)
+		c.replaceServer(l)
 	}
 }
 
-// swap starts a server with the given limits and hands it all new connections.
-func (c *callers) swap(l routes.Limits) {
+// replaceServer starts an HTTP server with the given limits; it gets all new connections.
+func (c *callerServer) replaceServer(l routes.Limits) {
 	srv := &http.Server{
 		Handler: c.handler, MaxHeaderBytes: defaultHeaderBytes,
 		ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout,
@@ -81,23 +81,23 @@
 	c.conns = make(chan net.Conn)
 	c.current = srv
 	c.all = append(c.all, srv)
-	feed := &connFeed{addr: c.ln.Addr(), conns: c.conns, done: make(chan struct{})}
+	callerConns := &connListener{addr: c.ln.Addr(), conns: c.conns, done: make(chan struct{})}
 	go func() {
-		if err := srv.Serve(feed); !errors.Is(err, http.ErrServerClosed) {
-			c.log.Error("server of callers ended", "err", err)
+		if err := srv.Serve(callerConns); !errors.Is(err, http.ErrServerClosed) {
+			c.log.Error("http server for callers failed", "err", err)
 		}
 	}()
 }
 
 // Serve implements suture.Service: it accepts connections.
-func (c *callers) Serve(ctx context.Context) error {
+func (c *callerServer) Serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { c.ln.Close() })
 	defer stop()
 	for {
 		conn, err := c.ln.Accept()
 		if errors.Is(err, net.ErrClosed) || ctx.Err() != nil {
 			if err == nil {
-				// Its caller would wait for an answer for ever.
+				// Otherwise the caller would wait for a response without end.
 				conn.Close()
 			}
 			return suture.ErrDoNotRestart
@@ -117,8 +117,8 @@
 	}
 }
 
-// shutdown closes idle connections and waits for the requests in flight.
-func (c *callers) shutdown(ctx context.Context) error {
+// shutdown closes idle connections and waits for the requests in progress.
+func (c *callerServer) shutdown(ctx context.Context) error {
 	c.ln.Close()
 	c.mu.Lock()
 	c.closed = true
@@ -133,8 +133,8 @@
 	return errors.Join(errs...)
 }
 
-// close ends everything at once.
-func (c *callers) close() {
+// close closes the listener and all connections at once.
+func (c *callerServer) close() {
 	c.ln.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -144,8 +144,8 @@
 	}
 }
 
-// connFeed is a listener whose connections come from another one.
-type connFeed struct {
+// connListener is a listener whose connections were accepted by another one.
+type connListener struct {
 	addr  net.Addr
 	conns chan net.Conn
 	once  sync.Once
@@ -153,7 +153,7 @@
 }
 
 // Accept implements net.Listener.
-func (f *connFeed) Accept() (net.Conn, error) {
+func (f *connListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-f.conns:
 		return c, nil
@@ -163,10 +163,10 @@
 }
 
 // Close implements net.Listener.
-func (f *connFeed) Close() error {
+func (f *connListener) Close() error {
 	f.once.Do(func() { close(f.done) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (f *connFeed) Addr() net.Addr { return f.addr }
+func (f *connListener) Addr() net.Addr { return f.addr }
--- a/internal/entry/callers_test.go
+++ b/internal/entry/callers_test.go
@@ -12,7 +12,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// lastAccept is a listener that accepts one connection at the moment in which the node ends.
+// lastAccept is a listener that returns one connection just after the node has ended.
 type lastAccept struct {
 	net.Listener
 	conn net.Conn
@@ -25,15 +25,15 @@
 	return l.conn, nil
 }
 
-// A connection that is accepted while the node ends is closed: its caller would else hear nothing
-// for ever.
+// A connection that is accepted while the node ends must be closed; otherwise its caller waits
+// for a response without end.
 func TestConnectionThatIsAcceptedAtTheEndIsClosed(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	defer ln.Close()
 	caller, accepted := net.Pipe()
 	ctx, cancel := context.WithCancel(t.Context())
-	c := newCallers(&lastAccept{Listener: ln, conn: accepted, end: cancel}, http.NotFoundHandler(), slog.New(slog.DiscardHandler))
+	c := newCallerServer(&lastAccept{Listener: ln, conn: accepted, end: cancel}, http.NotFoundHandler(), slog.New(slog.DiscardHandler))
 	done := make(chan error, 1)
 	go func() { done <- c.Serve(ctx) }()
 	<-done
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,7 +1,7 @@
-// Package entry assembles a node that serves pass-through requests: it follows
-// the configuration, the targets and the other nodes in the store, forms or
-// orders batches, answers callers, and stops gracefully. It keeps nothing that
-// must last: after a loss of power it starts from the store alone.
+// Package entry assembles a node that serves pass-through requests. The node follows the
+// configuration, the targets and the other nodes in the store, forms batches or orders them
+// from other nodes, serves callers, and stops gracefully. It keeps no durable state: after a
+// power failure it starts from the store alone.
 package entry
 
 import (
@@ -40,53 +40,51 @@
 	"topazmoor/internal/watch"
 )
 
-// Settings is what an entry node is told at its start.
+// Settings are the settings of an entry node, read at its start.
 type Settings struct {
 	Node, DataCentre, Region string
-	// Regions gives the region of each data centre.
+	// Regions maps data centres to regions.
 	Regions region.Map
-	// ListenCallers takes callers, ListenReady answers the balancer, and
-	// ListenPeers takes calls of other nodes; all are IP:port.
+	// ListenCallers is for callers, ListenReady for the balancer's readiness checks and for
+	// metrics, and ListenPeers for calls of other nodes; all are IP:port.
 	ListenCallers, ListenReady, ListenPeers string
-	// MemoryBytes is the process's limit; 0 for none.
+	// MemoryBytes is the memory limit of the process; 0 for none.
 	MemoryBytes int64
-	// Means is what the process has for the batches that it forms for all nodes.
+	// Means are the resources of the process for the batches that it forms on behalf of all nodes.
 	Means stagebatch.Means
-	// StopGrace is how long a process has between the signal to stop and its
-	// end.
+	// StopGrace is the time between the stop signal and the end of the process.
 	StopGrace time.Duration
 	Repeats   RepeatBudget
-	// Rollouts bounds what versions get that are not known to be good.
+	// Rollouts bounds the traffic of versions that are not known to be good.
 	Rollouts rollout.Bounds
-	// Off are the mechanisms that an experiment switches off.
+	// Off holds the mechanisms that an experiment disables.
 	Off mechanism.Set
 }
 
-// RepeatBudget bounds requests that are sent again, over all nodes.
+// RepeatBudget bounds repeated sends, summed over all nodes.
 type RepeatBudget struct {
-	// Ratio is the share of the requests for a service, Fixed a number beside
-	// it, in each Window.
+	// For each service and Window, the budget is Ratio times the number of requests, plus Fixed.
 	Ratio, Fixed float64
 	Window       time.Duration
 }
 
-// Sources says where the store holds what a node follows, and how to read it.
+// Sources names the store tables that a node follows, and decodes their rows.
 type Sources struct {
 	ConfigTable string
 	// Config returns nil when there is no configuration yet.
 	Config func(rows map[string]store.Row) (*routes.Config, error)
-	// Drained reads from the same table which data centres get no work.
+	// Drained decodes from the same table which data centres are drained.
 	Drained func(rows map[string]store.Row) map[string]bool
-	// Rollouts reads from the same table which roll-outs of versions are asked for;
-	// RolloutState is the row that tells the operator of one.
+	// Rollouts decodes from the same table the roll-outs of versions that the operator ordered.
+	// RolloutState encodes the row that shows the operator the state of one.
 	Rollouts     func(rows map[string]store.Row) []rollout.Order
 	RolloutState func(r rollout.Record) (store.Write, error)
 	TargetTable  string
-	// Target reads one entry. It fails for one that names no target to use.
+	// Target decodes one row. It fails for a row that describes no usable target.
 	Target func(r store.Row) (targets.Target, error)
 }
 
-// Env is the outside world of a node; tests replace it.
+// Env holds the external dependencies of a node; tests replace them.
 type Env struct {
 	Dial   httpconn.Dial
 	Listen func(addr string) (net.Listener, error)
@@ -95,64 +93,66 @@
 	Wire   passthrough.Wire
 	Worker stagebatch.Worker
 	Sources
-	// BootAhead tells how far the kernel's boot clock is ahead of the steady one; nil for the
-	// kernel's clocks.
+	// BootAhead returns how far the kernel's boot clock is ahead of its monotonic clock; nil
+	// selects the kernel's clocks.
 	BootAhead suspend.Read
 	// Reload reads the settings again.
 	Reload func() (Settings, error)
-	// Dropped counts the log lines that were dropped; nil when none are.
+	// Dropped returns the number of dropped log lines; nil if no lines are dropped.
 	Dropped func() int64
 	Log     *slog.Logger
 }
 
-// Board is the node's blackboard.
-type Board struct {
+// nodeState holds the data that the parts of the node share.
+type nodeState struct {
 	Routes  blackboard.Cell[*routes.Config]
 	Members blackboard.Cell[[]stagebatch.Node]
-	// Near are the nodes of this node's data centre, itself included once it is entered.
-	Near blackboard.Cell[[]relay.Node]
+	// LocalNodes are the nodes of this node's data centre, including this node once it has its row
+	// in the member table.
+	LocalNodes blackboard.Cell[[]relay.Node]
 }
 
 // Node is one entry node.
 type Node struct {
-	set     Settings
-	env     Env
-	log     *slog.Logger
-	board   Board
-	targets *targets.Table
-	config  *watch.Table
-	servers *watch.Table
-	peers   *peers
-	// versions hears of newer configurations from the other nodes.
-	versions *versions
-	// teller and follower share what nodes of a data centre hear of the store.
-	guard      *poison.Guard
-	quarantine *watch.Table
-	limiter    *sharedrate.Limiter
-	gate       *rollout.Gate
-	owner      *rollout.Owner
-	teller     *relay.Teller
-	follower   *relay.Follower
-	former     *stagebatch.Former
-	router     *stagebatch.Router
-	front      *passthrough.Server
-	callers    *callers
-	ready      *http.Server
-	readyLn    net.Listener
-	metrics    *metrics.Entry
-	// unreadable are the entries of targets that were left out.
+	set         Settings
+	env         Env
+	log         *slog.Logger
+	state       nodeState
+	targets     *targets.Table
+	configTable *watch.Table
+	targetTable *watch.Table
+	peers       *peers
+	// versionTracker receives the newest versions that the other nodes report for the operator's
+	// table.
+	versionTracker  *versionTracker
+	guard           *poison.Guard
+	quarantineTable *watch.Table
+	limiter         *sharedrate.Limiter
+	gate            *rollout.Gate
+	owner           *rollout.Owner
+	// relayServer and follower relay the tables of the store between the nodes of a data centre.
+	relayServer  *relay.Teller
+	follower     *relay.Follower
+	former       *stagebatch.Former
+	router       *stagebatch.Router
+	passThrough  *passthrough.Server
+	callerServer *callerServer
+	ready        *http.Server
+	readyLn      net.Listener
+	metrics      *metrics.Entry
+	// unreadable holds the target rows that are ignored.
 	unreadable unreadable
-	// configAt is where the store was when the configuration in force came, configSum names the
-	// rows that it was read with.
-	configAt  store.Version
-	configSum uint64
-	// memberRows is the member table as the store last had it.
+	// configStoreVersion is the version of the store from which the configuration in force was
+	// read; configHash is the hash of the rows that it was read from.
+	configStoreVersion store.Version
+	configHash         uint64
+	// memberRows is the member table as last received.
 	memberRows blackboard.Cell[map[string]store.Row]
 
-	// detector notices that the host stood still; distrusted is set from then until what this
-	// node knows was heard of again, or the time of it is over.
-	detector   *suspend.Detector
-	distrusted atomic.Pointer[time.Time]
+	// detector detects suspensions of the host. untrustedSince is set from a suspension until the
+	// store has confirmed the node's data, or maxDistrust is over.
+	detector       *suspend.Detector
+	untrustedSince atomic.Pointer[time.Time]
 
 	started  time.Time
 	stopOnce sync.Once
@@ -161,21 +161,20 @@
 }
 
 const (
-	// defaultBodyBytes and defaultReadTimeout hold until a configuration says
-	// otherwise.
+	// defaultBodyBytes and defaultReadTimeout apply unless a configuration sets other values.
 	defaultBodyBytes   = 4 << 20
 	defaultReadTimeout = 5 * time.Second
-	// targetPause gathers the entries of targets that start together, configPause
-	// configurations in quick succession. A drain must be known, and a
-	// configuration in force, within 2 s. Each change costs a call of every node, so
-	// that many nodes gather for longer, up to maxTargetPause.
+	// targetPause is how long changes of targets are collected, as targets start together, and
+	// configPause the same for configurations in quick succession. A drain must be known, and a
+	// configuration in force, within 2 s. Each change costs a call of every node, so many nodes
+	// collect changes for longer, up to maxTargetPause.
 	targetPause    = 400 * time.Millisecond
 	maxTargetPause = 800 * time.Millisecond
 	configPause    = 250 * time.Millisecond
-	// targetPausePerNode is what each node adds: 74 nodes gather for 740 ms.
+	// targetPausePerNode is the pause added for each node: 74 nodes collect for 740 ms.
 	targetPausePerNode = 10 * time.Millisecond
-	// memoryShare of the limit is the soft limit of the Go runtime; the rest is
-	// for what it does not see.
+	// memoryShare is the fraction of the memory limit that becomes the soft limit of the Go
+	// runtime; the rest is for memory that the runtime does not count.
 	memoryShare = 0.75
 )
 
@@ -191,10 +190,10 @@
 	n.targets.WarmupRate = n.warmupRate
 	n.provisionLimits()
 	n.provisionRollouts()
-	n.config = &watch.Table{Name: env.ConfigTable, From: env.Store, Wait: watch.ShortWait, Pause: n.pause(0, configPause, configPause), Apply: (&restore.Table{Name: env.ConfigTable, Apply: n.applyOperator, Log: n.log}).Take, Log: n.log}
-	n.servers = &watch.Table{Name: env.TargetTable, From: env.Store, Wait: watch.ShortWait, Pause: n.pause(targetPausePerNode, targetPause, maxTargetPause), Apply: n.applyTargets, Contact: n.storeContact, Log: n.log}
-	n.config.Lead = n.servers
-	n.versions = &versions{n: n}
+	n.configTable = &watch.Table{Name: env.ConfigTable, From: env.Store, Wait: watch.ShortWait, Pause: n.pause(0, configPause, configPause), Apply: (&restore.Table{Name: env.ConfigTable, Apply: n.applyOperatorTable, Log: n.log}).Take, Log: n.log}
+	n.targetTable = &watch.Table{Name: env.TargetTable, From: env.Store, Wait: watch.ShortWait, Pause: n.pause(targetPausePerNode, targetPause, maxTargetPause), Apply: n.applyTargets, Contact: n.storeContactChanged, Log: n.log}
+	n.configTable.Lead = n.targetTable
+	n.versionTracker = &versionTracker{n: n}
 	n.former = stagebatch.NewFormer(env.Worker, n.targets, n.batchSpec, n.log)
 	n.former.Name, n.former.Off = set.Node, set.Off
 	n.former.Regions = set.Regions
@@ -202,17 +201,17 @@
 	if n.peers, err = n.provisionPeers(); err != nil {
 		return nil, err
 	}
-	if n.detector, err = suspend.New(env.BootAhead, n.woke); err != nil {
+	if n.detector, err = suspend.New(env.BootAhead, n.hostResumed); err != nil {
 		return nil, err
 	}
 	n.targets.Trusted = n.trusted
 	n.provisionGuard()
 	n.provisionRelay()
-	n.router = stagebatch.NewRouter(stagebatch.Node{Name: set.Node, DataCentre: set.DataCentre, Means: set.Means}, n.former, n.peers.client, n.board.Members.Get, n.log)
-	n.front = passthrough.New(passthrough.Config{
-		Routes: n.board.Routes.Get, Current: n.current, StoreAway: n.storeAway, Slept: n.detector.Slept, Trusted: n.trusted, Targets: n.targets, Stages: n.router,
+	n.router = stagebatch.NewRouter(stagebatch.Node{Name: set.Node, DataCentre: set.DataCentre, Means: set.Means}, n.former, n.peers.client, n.state.Members.Get, n.log)
+	n.passThrough = passthrough.New(passthrough.Config{
+		Routes: n.state.Routes.Get, Current: n.current, StoreAway: n.storeUnreachable, Slept: n.detector.Slept, Trusted: n.trusted, Targets: n.targets, Stages: n.router,
 		Guard: n.guard, Sender: env.Conns, Wire: env.Wire, Off: set.Off,
-		Repeats:   flow.NewRepeatBudgets(set.Repeats.Ratio, set.Repeats.Fixed, set.Repeats.Window, n.router.Live, n.askRepeat),
+		Repeats:   flow.NewRepeatBudgets(set.Repeats.Ratio, set.Repeats.Fixed, set.Repeats.Window, n.router.Live, n.acquireRepeatPermit),
 		BodyBytes: defaultBodyBytes, ReadTimeout: defaultReadTimeout, Observer: n.metrics, Log: n.log,
 	})
 	n.provisionGauges()
@@ -223,11 +222,12 @@
 	return n, nil
 }
 
-// pause returns how long changes of a table are gathered, by the number of nodes that
-// ask for them. Where few ask for all it is short.
+// pause returns a function for how long changes of a table are collected, by the number of
+// nodes that read it from the store. With enough nodes in the data centre to relay the table,
+// only a few read it, and the pause is short.
 func (n *Node) pause(perNode, least, most time.Duration) func() time.Duration {
 	return func() time.Duration {
-		if len(n.board.Near.Get()) >= relay.Fewest {
+		if len(n.state.LocalNodes.Get()) >= relay.Fewest {
 			return least
 		}
 		nodes := n.nodes()
@@ -238,7 +238,7 @@
 func (n *Node) provisionGauges() {
 	n.metrics.GaugeVec("topazmoor_entry_store_age_seconds", "Time since the store last answered, by table.", "table", func() map[string]float64 {
 		ages := make(map[string]float64)
-		for _, t := range []*watch.Table{n.config, n.servers, n.peers.members} {
+		for _, t := range []*watch.Table{n.configTable, n.targetTable, n.peers.members} {
 			ages[t.Name] = time.Since(t.LastHeard()).Seconds()
 		}
 		return ages
@@ -246,12 +246,12 @@
 	n.metrics.Gauge("topazmoor_entry_unreadable_targets", "Entries of the list of targets that name no target to use.", func() float64 { return float64(n.unreadable.count()) })
 	n.metrics.GaugeVec("topazmoor_entry_stage_queue", "Pieces that wait at this node, by service.", "service", n.former.Queued)
 	n.metrics.Gauge("topazmoor_entry_config_version", "Version of the configuration in force.", func() float64 {
-		if cfg := n.board.Routes.Get(); cfg != nil {
+		if cfg := n.state.Routes.Get(); cfg != nil {
 			return float64(cfg.Version)
 		}
 		return 0
 	})
-	n.metrics.Gauge("topazmoor_entry_store_followers", "Nodes that follow the store through this one.", func() float64 { return float64(n.teller.Followers()) })
+	n.metrics.Gauge("topazmoor_entry_store_followers", "Nodes that follow the store through this one.", func() float64 { return float64(n.relayServer.Followers()) })
 	n.metrics.Gauge("topazmoor_entry_nodes", "Nodes that answer, this one included.", func() float64 { return float64(n.router.Live()) })
 	n.metrics.Gauge("topazmoor_entry_requests_in_flight", "Requests being worked on.", func() float64 { return float64(n.InFlight()) })
 	if n.env.Dropped != nil {
@@ -264,7 +264,7 @@
 	if err != nil {
 		return eris.Wrap(err, "listen for callers")
 	}
-	n.callers = newCallers(ln, n.front, n.log)
+	n.callerServer = newCallerServer(ln, n.passThrough, n.log)
 	if n.readyLn, err = n.env.Listen(n.set.ListenReady); err != nil {
 		return eris.Wrap(err, "listen for the balancer")
 	}
@@ -275,45 +275,46 @@
 	return nil
 }
 
-// batchSpec describes the targets of a stage pool.
+// batchSpec returns the batch settings of a stage pool; nil for none.
 func (n *Node) batchSpec(service string) *routes.Batch {
-	cfg := n.board.Routes.Get()
+	cfg := n.state.Routes.Get()
 	if cfg == nil || cfg.Services[service] == nil {
 		return nil
 	}
 	return cfg.Services[service].Batch
 }
 
-// warmupRate is how many calls a second a cold target of a service bears.
+// warmupRate returns how many calls a second, from all nodes together, a cold target of a
+// service can take; 0 for no limit.
 func (n *Node) warmupRate(service string) float64 {
-	cfg := n.board.Routes.Get()
+	cfg := n.state.Routes.Get()
 	if cfg == nil || cfg.Services[service] == nil {
 		return 0
 	}
 	return cfg.Services[service].WarmupRate
 }
 
-// current reports whether the configuration can be trusted to be the newest one.
-func (n *Node) current() bool { return n.config.Connected() && n.servers.Connected() }
+// current reports whether the configuration can be assumed to be the newest one.
+func (n *Node) current() bool { return n.configTable.Connected() && n.targetTable.Connected() }
 
-// storeAway reports whether the store does not answer: neither for the tables nor, at a
-// start, for the secret of all nodes.
-func (n *Node) storeAway() bool { return n.peers.refused.Load() || n.servers.Lost() }
+// storeUnreachable reports whether the store does not answer, either for the tables or, at a
+// start, for the secret that the nodes share.
+func (n *Node) storeUnreachable() bool { return n.peers.noSecret.Load() || n.targetTable.Lost() }
 
-// storeContact makes the other watches, and the nodes that follow this one, find out
+// storeContactChanged makes the other table watches, and the nodes that follow this one, check
 // whether the store answers.
-func (n *Node) storeContact() {
-	n.teller.Wake()
+func (n *Node) storeContactChanged() {
+	n.relayServer.Wake()
 	if n.follower.Alone() {
-		n.config.Poke()
+		n.configTable.Poke()
 		n.peers.members.Poke()
-		n.quarantine.Poke()
+		n.quarantineTable.Poke()
 	}
 }
 
-// applyTargets takes in a list of targets.
+// applyTargets applies changes of the target table.
 func (n *Node) applyTargets(v watch.View) {
-	n.teller.Wake()
+	n.relayServer.Wake()
 	changes, gone := n.targets.Change(n.readTargets(v), v.Regained)
 	for _, addr := range gone {
 		n.env.Conns.Forget(addr)
@@ -323,23 +324,23 @@
 	}
 }
 
-// readTargets reads the entries of targets that changed.
+// readTargets decodes the target rows that changed.
 func (n *Node) readTargets(v watch.View) targets.News {
 	var news targets.News
 	for _, key := range v.Changed {
 		row, listed := v.Rows[key]
 		if !listed {
-			n.unreadable.drop(key)
+			n.unreadable.remove(key)
 			news.Gone = append(news.Gone, key)
 			continue
 		}
 		t, err := n.env.Sources.Target(row)
 		if err != nil {
-			n.unreadable.note(row, err, n.log)
+			n.unreadable.add(row, err, n.log)
 			news.Gone = append(news.Gone, key)
 			continue
 		}
-		n.unreadable.drop(key)
+		n.unreadable.remove(key)
 		news.Listed = append(news.Listed, t)
 	}
 	return news
@@ -351,10 +352,10 @@
 	defer cancel()
 	sup := suture.New(n.set.Node, suture.Spec{EventHook: func(e suture.Event) { n.log.Warn("supervisor", "event", e.String()) }})
 	for _, s := range []suture.Service{
-		supervise.Named("configuration", n.config), supervise.Named("list of targets", n.servers),
+		supervise.Named("configuration", n.configTable), supervise.Named("list of targets", n.targetTable),
 		supervise.Named("peers", n.peers), supervise.Named("peer server", n.peers.server), supervise.Named("members", n.peers.members),
-		supervise.Named("follower", n.follower), supervise.Named("teller", n.teller),
-		supervise.Named("callers", n.callers), supervise.Named("quarantine", n.quarantine), supervise.Named("guard", n.guard),
+		supervise.Named("follower", n.follower), supervise.Named("teller", n.relayServer),
+		supervise.Named("callers", n.callerServer), supervise.Named("quarantine", n.quarantineTable), supervise.Named("guard", n.guard),
 		supervise.Named("suspensions", n.detector), supervise.Named("roll-outs", n.gate), supervise.Named("sweeper", &sweeper{n}),
 	} {
 		sup.Add(s)
@@ -378,8 +379,8 @@
 }
 
 func (n *Node) close() {
-	if n.callers != nil {
-		n.callers.close()
+	if n.callerServer != nil {
+		n.callerServer.close()
 	}
 	if n.readyLn != nil {
 		n.readyLn.Close()
@@ -393,7 +394,7 @@
 	switch {
 	case n.stopped.Load():
 		return false, "stopping"
-	case n.board.Routes.Get() == nil:
+	case n.state.Routes.Get() == nil:
 		return false, "no configuration yet"
 	case !n.targets.Seen():
 		return false, "no targets yet"
@@ -412,8 +413,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Reload reads the settings again and logs that it did. What they say of this
-// process's addresses and limits holds from its next start.
+// Reload reads the settings again and logs whether they changed. The running process keeps its
+// addresses and limits until its next start.
 func (n *Node) Reload() {
 	set, err := n.env.Reload()
 	if err != nil {
@@ -423,10 +424,9 @@
 	n.log.Info("settings reloaded", "changed", !reflect.DeepEqual(set, n.set))
 }
 
-// sweeper closes connections whose time is over. It implements suture.Service.
+// sweeper closes connections that have expired. It implements suture.Service.
 type sweeper struct{ n *Node }
 
-// sweepInterval is the pause between two sweeps.
 const sweepInterval = 3 * time.Second
 
 // Serve implements suture.Service.
@@ -443,34 +443,35 @@
 	}
 }
 
-// InFlight returns the number of requests that are being worked on.
-func (n *Node) InFlight() int64 { return n.front.InFlight() }
+// InFlight returns the number of requests in progress.
+func (n *Node) InFlight() int64 { return n.passThrough.InFlight() }
 
-// Others returns how many other nodes this one knows.
-func (n *Node) Others() int { return len(n.board.Members.Get()) }
+// Others returns the number of other nodes in the member table.
+func (n *Node) Others() int { return len(n.state.Members.Get()) }
 
-// nodes returns how many nodes there are, as far as this one knows.
+// nodes returns the number of nodes by the member table, including this one.
 func (n *Node) nodes() int { return n.Others() + 1 }
 
 // ConfigVersion returns the version of the configuration in force; 0 for none.
 func (n *Node) ConfigVersion() int64 {
-	if cfg := n.board.Routes.Get(); cfg != nil {
+	if cfg := n.state.Routes.Get(); cfg != nil {
 		return cfg.Version
 	}
 	return 0
 }
 
 // StoreFollowers returns how many nodes follow the store through this one.
-func (n *Node) StoreFollowers() int { return n.teller.Followers() }
+func (n *Node) StoreFollowers() int { return n.relayServer.Followers() }
 
-// Former returns the node that forms the batches of a service, as this node sees it.
+// Former returns the name of the node that forms the batches of a service, by this node's view
+// of the members.
 func (n *Node) Former(service string) string { return n.router.First(service) }
 
-// Knows reports whether this node would send work to a target.
+// Knows reports whether this node may send requests to a target.
 func (n *Node) Knows(target string) bool { return n.targets.MayCall(target) }
 
 // Name returns the node's name.
 func (n *Node) Name() string { return n.set.Node }
 
 // CallerAddr returns the address that takes callers.
-func (n *Node) CallerAddr() string { return n.callers.ln.Addr().String() }
+func (n *Node) CallerAddr() string { return n.callerServer.ln.Addr().String() }
--- a/internal/entry/guard.go
+++ b/internal/entry/guard.go
@@ -6,19 +6,20 @@
 	"topazmoor/internal/watch"
 )
 
-// provisionGuard builds what keeps requests that crash targets away from them, and the table
-// of those in quarantine. Its changes are not gathered: a caller may come back at once.
+// provisionGuard builds the guard, which keeps requests that crash targets away from them, and
+// the watch of the quarantine table. Changes of this table are applied without a pause: a
+// caller may retry at once.
 func (n *Node) provisionGuard() {
 	n.guard = poison.New(poison.Config{
 		Node: n.set.Node, Store: n.env.Store, Dial: n.env.Dial, Nodes: func() int { return n.router.Live() },
 		Others: n.otherAddrs, Tell: n.peers.client.TellEnds, Gone: n.targets.Ended, Log: n.log,
 	})
 	n.former.Guard = n.guard
-	n.quarantine = &watch.Table{
-		Name: poison.QuarantineTable, From: n.env.Store, Wait: watch.LongWait, Lead: n.servers, Log: n.log,
+	n.quarantineTable = &watch.Table{
+		Name: poison.QuarantineTable, From: n.env.Store, Wait: watch.LongWait, Lead: n.targetTable, Log: n.log,
 		Apply: (&restore.Table{Name: poison.QuarantineTable, Mend: n.guard.Mend, Log: n.log, Apply: func(v watch.View, kept restore.Result) {
 			n.guard.Apply(v, kept)
-			n.teller.Wake()
+			n.relayServer.Wake()
 		}}).Take,
 	}
 	n.provisionGuardMetrics()
@@ -32,10 +33,10 @@
 	n.metrics.Counter("topazmoor_entry_target_ends_dropped_total", "Ends under requests that could not be told to the store.", func() float64 { return float64(n.guard.Counts().Dropped) })
 }
 
-// otherAddrs lists where the other nodes take calls.
+// otherAddrs returns the addresses at which the other nodes take calls.
 func (n *Node) otherAddrs() []string {
 	var out []string
-	for _, other := range n.board.Members.Get() {
+	for _, other := range n.state.Members.Get() {
 		out = append(out, other.Addr)
 	}
 	return out
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -8,7 +8,8 @@
 	"topazmoor/internal/targets"
 )
 
-// provisionLimits builds what keeps all nodes together to the limits that targets name.
+// provisionLimits builds the limiter, which keeps the nodes together within the limits that
+// targets advertise.
 func (n *Node) provisionLimits() {
 	n.limiter = sharedrate.New(sharedrate.Config{
 		Self: sharedrate.Node{Name: n.set.Node, Addr: n.set.ListenPeers}, Log: n.log,
@@ -25,26 +26,27 @@
 	n.metrics.Counter("topazmoor_entry_permit_asks_total", "Asks for permits that this node answered.", func() float64 { return n.limiter.Counts().Asked })
 }
 
-// repeatPatience is how long a repeat waits for its permit: its caller waits too.
-const repeatPatience = 50 * time.Millisecond
+// repeatPermitTimeout is how long a repeat waits for its permit; the caller waits for that
+// time too.
+const repeatPermitTimeout = 50 * time.Millisecond
 
-// askRepeat gets a permit for a repeat of a rate that all nodes share.
-func (n *Node) askRepeat(ctx context.Context, service string, perSecond float64) bool {
+// acquireRepeatPermit acquires a permit for a repeat, of a rate that all nodes share.
+func (n *Node) acquireRepeatPermit(ctx context.Context, service string, perSecond float64) bool {
 	now := time.Now()
 	rate := sharedrate.Rate{Key: "repeats at " + service, PerSecond: perSecond, Heard: now}
-	_, err := n.limiter.Acquire(ctx, rate, now, now.Add(repeatPatience))
+	_, err := n.limiter.Acquire(ctx, rate, now, now.Add(repeatPermitTimeout))
 	if err != nil {
 		n.log.Info("no permit for a repeat", "service", service, "per_second", perSecond, "err", err)
 	}
 	return err == nil
 }
 
-// limitChanged logs that a target named, changed or took back its limit.
+// limitChanged logs that a target set, changed or removed its advertised limit.
 func (n *Node) limitChanged(c targets.LimitChange) {
 	attrs := []any{"process", c.Process, "addr", c.Addr, "service", c.Service, "lasted_ms", c.Lasted.Milliseconds(), "told", c.Told}
 	if c.PerSecond < 0 {
-		n.log.Info("target names no limit any more", attrs...)
+		n.log.Info("target no longer advertises a limit", attrs...)
 		return
 	}
-	n.log.Info("target names a limit", append(attrs, "per_second", c.PerSecond)...)
+	n.log.Info("target advertises a limit", append(attrs, "per_second", c.PerSecond)...)
 }
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -9,22 +9,22 @@
 	"topazmoor/internal/watch"
 )
 
-// applyOperator takes in what is in force of what the operator wrote.
-func (n *Node) applyOperator(v watch.View, _ restore.Result) {
-	n.versions.saw(v.Rows)
+// applyOperatorTable applies the rows in force that the operator wrote.
+func (n *Node) applyOperatorTable(v watch.View, _ restore.Result) {
+	n.versionTracker.observe(v.Rows)
 	n.applyDrains(v)
 	n.gate.SetOrders(n.env.Sources.Rollouts(v.Rows))
 	n.applyConfig(v)
 }
 
-// applyDrains puts the drains of data centres in force.
+// applyDrains starts and ends drains of data centres.
 func (n *Node) applyDrains(v watch.View) {
 	began, ended := n.targets.Drain(n.env.Sources.Drained(v.Rows))
 	for _, dc := range began {
 		n.log.Info("data centre drained", "drained", dc, "row_version", v.Version)
 	}
 	for _, dc := range ended {
-		n.log.Info("data centre taken back", "drained", dc, "row_version", v.Version)
+		n.log.Info("data centre drain ended", "drained", dc, "row_version", v.Version)
 	}
 }
 
@@ -32,17 +32,17 @@
 func (n *Node) applyConfig(v watch.View) {
 	cfg, err := n.env.Sources.Config(v.Rows)
 	if err != nil {
-		n.log.Error("configuration not taken: it cannot be read", "row_version", v.Version, "err", err)
+		n.log.Error("configuration not applied: it cannot be decoded", "row_version", v.Version, "err", err)
 		return
 	}
-	n.teller.Wake()
-	old, sum := n.board.Routes.Get(), sumOf(v.Rows)
-	if cfg == nil || old != nil && !n.replaces(cfg, old, v.Version, sum) {
+	n.relayServer.Wake()
+	old, sum := n.state.Routes.Get(), contentHash(v.Rows)
+	if cfg == nil || old != nil && !n.supersedes(cfg, old, v.Version, sum) {
 		return
 	}
-	n.configAt, n.configSum = v.Version, sum
-	n.board.Routes.Store(cfg)
-	n.callers.setLimits(cfg.Limits)
+	n.configStoreVersion, n.configHash = v.Version, sum
+	n.state.Routes.Store(cfg)
+	n.callerServer.setLimits(cfg.Limits)
 	before := int64(0)
 	if old != nil {
 		before = old.Version
@@ -50,18 +50,19 @@
 	n.log.Info("configuration in force", "config", cfg.Version, "before", before, "row_version", v.Version)
 }
 
-// replaces reports whether a configuration takes the place of the one in force: within an era of
-// the store a newer one, in a later era any other one, as versions are given out again there.
-// What the store merely lost is kept from here by package restore.
-func (n *Node) replaces(cfg, old *routes.Config, at store.Version, sum uint64) bool {
+// supersedes reports whether a configuration replaces the one in force. Within an era of the
+// store only a newer version does; in a later era any other contents do, as version numbers
+// are reused there. Rows that the store merely lost are retained by package restore.
+func (n *Node) supersedes(cfg, old *routes.Config, at store.Version, sum uint64) bool {
 	if cfg.Version > old.Version {
 		return true
 	}
-	return !at.SameEra(n.configAt) && sum != n.configSum
+	return !at.SameEra(n.configStoreVersion) && sum != n.configHash
 }
 
-// sumOf tells tables apart by their contents.
-func sumOf(rows map[string]store.Row) uint64 {
+// contentHash returns a hash of the keys and values of a table that does not depend on their
+// order.
+func contentHash(rows map[string]store.Row) uint64 {
 	var sum uint64
 	for key, r := range rows {
 		sum += xxhash.Sum64(append(append([]byte(key), 0), r.Value...))
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -28,7 +28,7 @@
 
 // Tables of the node's own in the store.
 const (
-	// memberTable has a row a node, by name.
+	// memberTable has a row for each node, by name.
 	memberTable = "members"
 	// keyTable holds the secret that all nodes share.
 	keyTable = "keys"
@@ -38,23 +38,24 @@
 const (
 	// keyBytes is the length of the shared secret.
 	keyBytes = 32
-	// enterRetry is the pause between tries to reach the store, half random.
-	enterRetry = 400 * time.Millisecond
-	// maxEnterRetry is up to where that doubles for this node's row: the store takes some 200 writes a
-	// second of one table, and all nodes of a fleet may start at once.
-	maxEnterRetry = 4 * time.Second
-	// freshGather, half of it random, is how long nodes that all start now wait for each other
-	// before they read who is there: they start within some 100 ms, weak ones take a second.
-	freshGather = 2400 * time.Millisecond
-	// enterAgain is how often a node looks whether its row still stands.
-	enterAgain = 5 * time.Second
-	// memberPause gathers the entries of nodes that start together, up to
-	// maxMemberPause where there are many.
+	// storeRetry is the pause between attempts to reach the store, half of it random.
+	storeRetry = 400 * time.Millisecond
+	// maxRowRetry is the limit up to which that pause doubles for the write of this node's row:
+	// the store takes some 200 writes a second of one table, and all nodes of a fleet may start at
+	// once.
+	maxRowRetry = 4 * time.Second
+	// startupWait, half of it random, is how long the nodes of a new platform wait for each other
+	// before they read the member table: they start within some 100 ms, slow ones take a second.
+	startupWait = 2400 * time.Millisecond
+	// rowCheckInterval is how often a node checks that its row still exists.
+	rowCheckInterval = 5 * time.Second
+	// memberPause is how long changes of the member table are collected, as nodes start together;
+	// with many nodes it is up to maxMemberPause.
 	memberPause    = time.Second
 	maxMemberPause = 2500 * time.Millisecond
-	// memberPausePerNode is what each node adds: 74 nodes gather for 2.2 s.
+	// memberPausePerNode is the pause added for each node: 74 nodes collect for 2.2 s.
 	memberPausePerNode = 30 * time.Millisecond
-	// leaveTimeout bounds the removal of the row at a stop.
+	// leaveTimeout bounds the removal of the row of a node that stops or has left.
 	leaveTimeout = 2 * time.Second
 )
 
@@ -62,34 +63,36 @@
 type member struct {
 	Addr       string `json:"addr"`
 	DataCentre string `json:"data_centre"`
-	// Memory is the process's limit in bytes; 0 for none.
+	// Memory is the memory limit of the process in bytes; 0 for none.
 	Memory int64 `json:"memory,omitempty"`
-	// Means is what it has for the batches that it forms.
+	// Means are the resources of the process for the batches that it forms.
 	Means stagebatch.Means `json:"means,omitzero"`
 }
 
-// peers is the node's side of the other nodes. It implements suture.Service.
+// peers connects the node with the other nodes: its row in the member table, the shared
+// secret, and the client and server for calls between nodes. It implements suture.Service.
 type peers struct {
 	n       *Node
-	client  *lateClient
-	server  *lateServer
+	client  *deferredClient
+	server  *deferredServer
 	members *watch.Table
 	row     []byte
-	left    atomic.Bool
-	// lost says that the store lost this node's row, mended wakes Serve for what it lost.
-	lost   atomic.Bool
-	mended chan struct{}
-	// known is closed when the secret and the nodes are known, so that one to follow can be
-	// chosen.
-	missing atomic.Int32
-	known   chan struct{}
-	read    sync.Once
-	// answered is closed when the store has answered this process, with the secret or that
+	leaving atomic.Bool
+	// rowLost reports that the store lost this node's row. repair wakes Serve to write again what
+	// the store lost.
+	rowLost atomic.Bool
+	repair  chan struct{}
+	// known is closed when the shared secret and the member table are known, so that a node to
+	// follow can be chosen. missing counts those of the two that are not known yet.
+	missing     atomic.Int32
+	known       chan struct{}
+	membersRead sync.Once
+	// answered is closed when the store has answered this process, either with the secret or that
 	// there is none.
 	answered     chan struct{}
 	answeredOnce sync.Once
-	// refused is set while the store does not answer with the secret.
-	refused atomic.Bool
+	// noSecret is set while reads of the secret from the store fail.
+	noSecret atomic.Bool
 }
 
 func (n *Node) provisionPeers() (*peers, error) {
@@ -97,47 +100,47 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "listen for peers")
 	}
-	p := &peers{n: n, mended: make(chan struct{}, 1), client: newLateClient(), known: make(chan struct{}), answered: make(chan struct{}), server: &lateServer{ln: ln, key: make(chan []byte, 1)}}
+	p := &peers{n: n, repair: make(chan struct{}, 1), client: newDeferredClient(), known: make(chan struct{}), answered: make(chan struct{}), server: &deferredServer{ln: ln, key: make(chan []byte, 1)}}
 	p.missing.Store(2)
 	p.server.start = func(key []byte) *peer.Server {
-		return peer.NewServer(ln, key, n.set.Node, peer.Handler{Nodes: n.Others, Stages: n.former, Versions: n.versions, Teller: n.teller, Ends: n.guard, Permits: n.limiter, Rollouts: n.owner}, n.log)
+		return peer.NewServer(ln, key, n.set.Node, peer.Handler{Nodes: n.Others, Stages: n.former, Versions: n.versionTracker, Teller: n.relayServer, Ends: n.guard, Permits: n.limiter, Rollouts: n.owner}, n.log)
 	}
 	p.row, err = json.Marshal(member{Addr: ln.Addr().String(), DataCentre: n.set.DataCentre, Memory: n.set.MemoryBytes, Means: n.set.Means})
 	if err != nil {
 		return nil, eris.Wrap(err, "encode member")
 	}
-	p.members = &watch.Table{Name: memberTable, From: n.env.Store, Wait: watch.LongWait, Pause: n.pause(memberPausePerNode, memberPause, maxMemberPause), Apply: (&restore.Table{Name: memberTable, Apply: p.apply, Mend: p.mend, Log: n.log}).Take, Lead: n.servers, Log: n.log}
+	p.members = &watch.Table{Name: memberTable, From: n.env.Store, Wait: watch.LongWait, Pause: n.pause(memberPausePerNode, memberPause, maxMemberPause), Apply: (&restore.Table{Name: memberTable, Apply: p.apply, Mend: p.repairStore, Log: n.log}).Take, Lead: n.targetTable, Log: n.log}
 	return p, nil
 }
 
-// Serve implements suture.Service: it fetches the shared secret and keeps this
-// node's row in the member table.
+// Serve implements suture.Service: it reads the shared secret and keeps this node's row in the
+// member table.
 func (p *peers) Serve(ctx context.Context) error {
 	key, fresh, err := p.sharedKey(ctx)
 	if err != nil {
 		return err
 	}
-	p.client.set(peer.NewClient(peer.Dial(p.n.env.Dial), key, p.n.set.Node, p.n.versions))
+	p.client.set(peer.NewClient(peer.Dial(p.n.env.Dial), key, p.n.set.Node, p.n.versionTracker))
 	p.server.key <- key
 	if fresh {
-		p.gather(ctx)
+		p.awaitOthers(ctx)
 	}
-	p.learned()
-	retry := enterRetry
+	p.prerequisiteMet()
+	retry := storeRetry
 	for {
-		wait := enterAgain
-		if p.n.servers.Lost() {
-			// The list of targets finds out when the store is back.
-			wait = enterRetry
-		} else if err := p.enter(ctx); errors.Is(err, errMembersUnknown) {
-			wait = enterRetry
+		wait := rowCheckInterval
+		if p.n.targetTable.Lost() {
+			// The watch of the target table detects when the store answers again.
+			wait = storeRetry
+		} else if err := p.ensureRow(ctx); errors.Is(err, errMembersUnknown) {
+			wait = storeRetry
 		} else if err != nil {
-			wait, retry = retry, min(2*retry, maxEnterRetry)
+			wait, retry = retry, min(2*retry, maxRowRetry)
 		} else {
-			retry = enterRetry
+			retry = storeRetry
 		}
-		if p.sleepOrMend(ctx, wait) {
-			p.keepKey(ctx, key)
+		if p.awaitRepair(ctx, wait) {
+			p.restoreKey(ctx, key)
 		}
 		if ctx.Err() != nil {
 			return ctx.Err()
@@ -145,48 +148,52 @@
 	}
 }
 
-// gather enters this node in a platform that no node knew before, waits until the others did as
-// well, and has the table of nodes read: once, instead of at each change while it fills.
-func (p *peers) gather(ctx context.Context) {
-	// Where the store takes no more writes now, Serve goes on; others can be followed before.
-	_ = p.write(ctx)
-	if sleep(ctx, freshGather) {
+// awaitOthers is called in a new platform. It writes this node's row, waits until the other
+// nodes have written theirs, and then has the member table read: once, instead of at each
+// change while the table fills.
+func (p *peers) awaitOthers(ctx context.Context) {
+	// If the store accepts no write now, Serve repeats it; other nodes can be followed before
+	// that.
+	_ = p.writeRow(ctx)
+	if sleep(ctx, startupWait) {
 		p.members.Poke()
 	}
 }
 
-// sleepOrMend waits for about d, or until the store has lost something, which it reports.
-func (p *peers) sleepOrMend(ctx context.Context, d time.Duration) bool {
+// awaitRepair waits for between half of d and d. It reports whether the store lost rows before
+// the time was over.
+func (p *peers) awaitRepair(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d/2 + mathrand.N(d/2))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-p.mended:
+	case <-p.repair:
 		return true
 	}
 	return false
 }
 
-// mend writes again what the store lost when it came back from a copy: this node's row, in
-// Serve, and that rows of nodes that left were removed.
-func (p *peers) mend(kept restore.Result) {
+// repairStore restores what the store lost when it was recovered from a copy: this node's row
+// and the secret, in Serve, and the removal of the rows of nodes that left.
+func (p *peers) repairStore(kept restore.Result) {
 	select {
-	case p.mended <- struct{}{}:
+	case p.repair <- struct{}{}:
 	default:
 	}
 	for _, name := range kept.Undone {
-		p.forget(name)
+		p.removeDeparted(name)
 	}
 }
 
-// forget removes the row of a node that left, unless it was written since the store came back.
-func (p *peers) forget(name string) {
+// removeDeparted removes the row of a node that left, unless it was written since the store's
+// recovery.
+func (p *peers) removeDeparted(name string) {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	row, err := p.n.env.Store.Get(ctx, memberTable, name)
 	if err != nil {
-		// Another node was sooner, or the row lapses after its hold.
+		// Another node has removed the row, or package restore drops it when its retention ends.
 		return
 	}
 	_, err = p.n.env.Store.Commit(ctx, store.Tx{
@@ -194,16 +201,16 @@
 		Writes:     []store.Write{{Table: memberTable, Key: name, Delete: true}},
 	})
 	if err != nil {
-		p.n.log.Info("entry of a node that left not removed again", "peer", name, "err", err)
+		p.n.log.Info("row of a departed node not removed", "peer", name, "err", err)
 	}
 }
 
-// keepKey writes the secret of all nodes again where the store lost it: a node that starts would
-// make another one, and nobody could talk to it.
-func (p *peers) keepKey(ctx context.Context, key []byte) {
+// restoreKey writes the shared secret again if the store lost it. Otherwise a node that starts
+// would generate another one, and no other node could connect to it.
+func (p *peers) restoreKey(ctx context.Context, key []byte) {
 	row, err := p.n.env.Store.Get(ctx, keyTable, peerKey)
 	if err == nil && !bytes.Equal(row.Value, key) {
-		p.n.log.Error("the store has another shared secret since it came back: nodes that start now cannot talk to this one", "row_version", row.Version)
+		p.n.log.Error("the store holds another shared secret since its recovery: nodes that start now cannot connect to this one", "row_version", row.Version)
 	}
 	if !errors.Is(err, store.ErrNotFound) {
 		return
@@ -214,11 +221,11 @@
 	})
 	var conflict *store.ConflictError
 	if err != nil && !errors.As(err, &conflict) {
-		p.n.log.Info("shared secret not written again yet", "err", err)
+		p.n.log.Info("shared secret not restored to the store yet", "err", err)
 	}
 }
 
-// sleep waits for about d and reports whether ctx still lasts.
+// sleep waits for between half of d and d, and reports whether ctx is still active.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -228,16 +235,17 @@
 	}
 }
 
-// sharedKey reads the secret of all nodes, or makes it: the first commit wins. fresh says
-// that there was none: all nodes start now, look twice before they make one (most of them
-// need not then). Otherwise one read of the nodes is enough to choose one to follow.
+// sharedKey reads the secret that all nodes share, or generates it; the first commit wins.
+// fresh reports that the store had none, so all nodes start now: sharedKey then looks a second
+// time before it generates one, as most nodes find one by then. If the secret exists, one read
+// of the member table is enough to choose a node to follow.
 func (p *peers) sharedKey(ctx context.Context) (key []byte, fresh bool, err error) {
 	for {
 		r, err := p.n.env.Store.Get(ctx, keyTable, peerKey)
 		if err == nil || errors.Is(err, store.ErrNotFound) {
 			p.answeredOnce.Do(func() { close(p.answered) })
 		}
-		p.refused.Store(err != nil && !errors.Is(err, store.ErrNotFound))
+		p.noSecret.Store(err != nil && !errors.Is(err, store.ErrNotFound))
 		if err == nil {
 			if !fresh {
 				p.members.Poke()
@@ -246,7 +254,7 @@
 		}
 		if errors.Is(err, store.ErrNotFound) && !fresh {
 			fresh = true
-			if !sleep(ctx, enterRetry) {
+			if !sleep(ctx, storeRetry) {
 				return nil, fresh, ctx.Err()
 			}
 			continue
@@ -259,13 +267,13 @@
 				Conditions: []store.Condition{{Table: keyTable, Key: peerKey}},
 				Writes:     []store.Write{{Table: keyTable, Key: peerKey, Value: secret}},
 			})
-			// Whoever wrote it: the next read tells.
+			// Another node may have committed its own; the next read returns the one that is valid.
 			if err == nil {
 				continue
 			}
 		}
 		p.n.log.Info("shared secret not read yet", "err", err)
-		if !sleep(ctx, enterRetry) {
+		if !sleep(ctx, storeRetry) {
 			return nil, fresh, ctx.Err()
 		}
 	}
@@ -273,24 +281,24 @@
 
 var errMembersUnknown = eris.New("entry: the table of nodes is not read yet")
 
-// enter writes this node's row unless it stands.
-func (p *peers) enter(ctx context.Context) error {
-	if p.left.Load() {
+// ensureRow writes this node's row unless it is already in the table.
+func (p *peers) ensureRow(ctx context.Context) error {
+	if p.leaving.Load() {
 		return nil
 	}
 	if p.rows() == nil {
-		// A process that was killed finds its row as it left it.
+		// A process that restarts after a kill may find its row unchanged.
 		return errMembersUnknown
 	}
 	r, ok := p.rows()[p.n.set.Node]
-	if ok && string(r.Value) == string(p.row) && !p.lost.Load() {
+	if ok && string(r.Value) == string(p.row) && !p.rowLost.Load() {
 		return nil
 	}
-	return p.write(ctx)
+	return p.writeRow(ctx)
 }
 
-// write writes this node's row.
-func (p *peers) write(ctx context.Context) error {
+// writeRow writes this node's row.
+func (p *peers) writeRow(ctx context.Context) error {
 	_, err := p.n.env.Store.Commit(ctx, store.Tx{Writes: []store.Write{{Table: memberTable, Key: p.n.set.Node, Value: p.row}}})
 	if err != nil {
 		p.n.log.Info("this node's entry not written yet", "err", err)
@@ -298,63 +306,64 @@
 	return err
 }
 
-// rows returns the member table as it was last seen.
+// rows returns the member table as last received; nil before that.
 func (p *peers) rows() map[string]store.Row {
 	return p.n.memberRows.Get()
 }
 
-// apply takes in what is in force of the member table.
+// apply applies a new view of the member table.
 func (p *peers) apply(v watch.View, kept restore.Result) {
 	p.n.memberRows.Store(v.Rows)
-	p.lost.Store(slices.Contains(kept.Lost, p.n.set.Node))
+	p.rowLost.Store(slices.Contains(kept.Lost, p.n.set.Node))
 	var out []stagebatch.Node
-	var near []relay.Node
+	var local []relay.Node
 	var sharing []sharedrate.Node
 	for name, r := range v.Rows {
 		m, err := decodeMember(r.Value)
 		if err != nil {
-			p.n.log.Error("entry of a node left out", "peer", name, "err", err)
+			p.n.log.Error("row of a node ignored: it cannot be decoded", "peer", name, "err", err)
 			continue
 		}
 		if m.DataCentre == p.n.set.DataCentre {
-			near = append(near, relay.Node{Name: name, Addr: m.Addr, Memory: m.Memory})
+			local = append(local, relay.Node{Name: name, Addr: m.Addr, Memory: m.Memory})
 		}
 		if name != p.n.set.Node {
 			sharing = append(sharing, sharedrate.Node{Name: name, Addr: m.Addr})
 			out = append(out, stagebatch.Node{Name: name, Addr: m.Addr, DataCentre: m.DataCentre, Means: m.Means})
 		}
 	}
-	p.n.board.Members.Store(out)
-	p.n.board.Near.Store(near)
+	p.n.state.Members.Store(out)
+	p.n.state.LocalNodes.Store(local)
 	p.n.limiter.SetNodes(sharing)
-	p.read.Do(p.learned)
-	p.n.teller.Wake()
-	p.n.log.Info("nodes known", "others", len(out), "row_version", v.Version)
+	p.membersRead.Do(p.prerequisiteMet)
+	p.n.relayServer.Wake()
+	p.n.log.Info("member table applied", "others", len(out), "row_version", v.Version)
 }
 
-// decodeMember reads a row of the member table.
+// decodeMember decodes a row of the member table.
 func decodeMember(value []byte) (member, error) {
 	var m member
 	if err := json.Unmarshal(value, &m); err != nil {
-		return m, eris.Wrap(err, "entry of a node")
+		return m, eris.Wrap(err, "decode row of a node")
 	}
 	if _, err := netip.ParseAddrPort(m.Addr); err != nil {
-		return m, eris.Wrap(err, "entry of a node")
+		return m, eris.Wrap(err, "decode row of a node")
 	}
 	return m, nil
 }
 
-// learned notes that one of the two things is known that it takes to follow another node.
-func (p *peers) learned() {
+// prerequisiteMet records that the secret, or the member table, is known. Both are needed to
+// follow another node.
+func (p *peers) prerequisiteMet() {
 	if p.missing.Add(-1) == 0 {
 		close(p.known)
 	}
 }
 
-// leave removes the row at a planned stop, so that others stop ordering
-// batches here.
+// leave removes the row at a planned stop, so that other nodes stop ordering batches from this
+// node.
 func (p *peers) leave(ctx context.Context) {
-	p.left.Store(true)
+	p.leaving.Store(true)
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	_, err := p.n.env.Store.Commit(ctx, store.Tx{Writes: []store.Write{{Table: memberTable, Key: p.n.set.Node, Delete: true}}})
@@ -368,26 +377,26 @@
 	p.client.close()
 }
 
-// lateClient is a peer client that exists once the shared secret is known. It
-// implements stagebatch.Remote.
-type lateClient struct {
+// deferredClient is a peer client that is created when the shared secret is known. Its calls
+// fail until then, except for Follow, which waits. It implements stagebatch.Remote.
+type deferredClient struct {
 	c     atomic.Pointer[peer.Client]
 	ready chan struct{}
 }
 
-func newLateClient() *lateClient { return &lateClient{ready: make(chan struct{})} }
+func newDeferredClient() *deferredClient { return &deferredClient{ready: make(chan struct{})} }
 
 var errNoKey = eris.New("entry: the shared secret is not known yet")
 
-func (l *lateClient) set(c *peer.Client) {
+func (l *deferredClient) set(c *peer.Client) {
 	if l.c.Swap(c) == nil {
 		close(l.ready)
 	}
 }
 
-// Follow implements relay.Remote. It waits for the secret: a node that starts wants the
-// store's tables before anything else.
-func (l *lateClient) Follow(ctx context.Context, addr string, have []relay.Have, told func(relay.Told) error) error {
+// Follow implements relay.Remote. It waits for the secret: a node that starts needs the tables
+// of the store before anything else.
+func (l *deferredClient) Follow(ctx context.Context, addr string, have []relay.Have, told func(relay.Told) error) error {
 	select {
 	case <-ctx.Done():
 		return errNoKey
@@ -397,7 +406,7 @@
 }
 
 // Produce implements stagebatch.Remote.
-func (l *lateClient) Produce(ctx context.Context, addr string, o stagebatch.Order, accepted func(stagebatch.Waits)) (stagebatch.Result, error) {
+func (l *deferredClient) Produce(ctx context.Context, addr string, o stagebatch.Order, accepted func(stagebatch.Waits)) (stagebatch.Result, error) {
 	c := l.c.Load()
 	if c == nil {
 		return stagebatch.Result{}, errNoKey
@@ -406,7 +415,7 @@
 }
 
 // Free implements stagebatch.Remote.
-func (l *lateClient) Free(ctx context.Context, addr, service string, handles []string, ifTight bool) error {
+func (l *deferredClient) Free(ctx context.Context, addr, service string, handles []string, ifTight bool) error {
 	c := l.c.Load()
 	if c == nil {
 		return errNoKey
@@ -414,8 +423,8 @@
 	return c.Free(ctx, addr, service, handles, ifTight)
 }
 
-// TellEnds tells another node of ends of targets under requests.
-func (l *lateClient) TellEnds(ctx context.Context, addr string, ends []poison.End) error {
+// TellEnds reports to another node which targets ended during requests.
+func (l *deferredClient) TellEnds(ctx context.Context, addr string, ends []poison.End) error {
 	c := l.c.Load()
 	if c == nil {
 		return errNoKey
@@ -423,8 +432,8 @@
 	return c.TellEnds(ctx, addr, ends)
 }
 
-// ReportRollout tells the node that decides on a roll-out what this one saw of it.
-func (l *lateClient) ReportRollout(ctx context.Context, addr string, r rollout.Report) (rollout.Answer, error) {
+// ReportRollout sends this node's observations of a roll-out to the node that decides on it.
+func (l *deferredClient) ReportRollout(ctx context.Context, addr string, r rollout.Report) (rollout.Answer, error) {
 	c := l.c.Load()
 	if c == nil {
 		return rollout.Answer{}, errNoKey
@@ -432,8 +441,8 @@
 	return c.ReportRollout(ctx, addr, r)
 }
 
-// AskPermits asks another node for permits of a rate.
-func (l *lateClient) AskPermits(ctx context.Context, addr string, a sharedrate.Ask) (sharedrate.Grant, error) {
+// AskPermits requests permits of a rate from another node.
+func (l *deferredClient) AskPermits(ctx context.Context, addr string, a sharedrate.Ask) (sharedrate.Grant, error) {
 	c := l.c.Load()
 	if c == nil {
 		return sharedrate.Grant{}, sharedrate.ErrNotReady
@@ -441,22 +450,22 @@
 	return c.AskPermits(ctx, addr, a)
 }
 
-func (l *lateClient) close() {
+func (l *deferredClient) close() {
 	if c := l.c.Load(); c != nil {
 		c.Close()
 	}
 }
 
-// lateServer serves peers once the shared secret is known. It implements
+// deferredServer serves other nodes as soon as the shared secret is known. It implements
 // suture.Service.
-type lateServer struct {
+type deferredServer struct {
 	ln    interface{ Close() error }
 	key   chan []byte
 	start func(key []byte) *peer.Server
 }
 
 // Serve implements suture.Service.
-func (l *lateServer) Serve(ctx context.Context) error {
+func (l *deferredServer) Serve(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -465,4 +474,4 @@
 	}
 }
 
-func (l *lateServer) close() { l.ln.Close() }
+func (l *deferredServer) close() { l.ln.Close() }
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -6,24 +6,25 @@
 	"topazmoor/internal/watch"
 )
 
-// provisionRelay lets this node follow the store through a node of its data centre, and
-// others through this one. The tables are held until that is decided.
+// provisionRelay lets this node follow the store through another node of its data centre, and
+// other nodes through this one. Until that is decided, the table watches wait for updates from
+// another node instead of asking the store.
 func (n *Node) provisionRelay() {
-	// A node that is not entered yet is not among them: it cannot be followed, so it need not ask the
-	// store by itself.
-	near := n.board.Near.Get
+	// A node without a row in the member table is not in this list: no node can follow it, so it
+	// need not read from the store by itself.
+	local := n.state.LocalNodes.Get
 	if n.set.Off.Has(mechanism.Relays) {
-		near = func() []relay.Node { return nil }
+		local = func() []relay.Node { return nil }
 	}
-	n.teller = relay.NewTeller(n.servers, n.config, n.peers.members, n.quarantine)
-	shared := func() bool { return n.teller.Followers() > 0 }
-	n.servers.Shared, n.servers.SharedWait = shared, watch.SharedWait
-	n.config.Shared, n.config.SharedWait = shared, watch.SharedLongWait
+	n.relayServer = relay.NewTeller(n.targetTable, n.configTable, n.peers.members, n.quarantineTable)
+	shared := func() bool { return n.relayServer.Followers() > 0 }
+	n.targetTable.Shared, n.targetTable.SharedWait = shared, watch.SharedWait
+	n.configTable.Shared, n.configTable.SharedWait = shared, watch.SharedLongWait
 	n.follower = &relay.Follower{
-		Self: n.set.Node, DataCentre: n.set.DataCentre, Nodes: near, Known: n.peers.known, Answered: n.peers.answered,
-		Remote: n.peers.client, Tables: n.teller.Tables(), Teller: n.teller, Log: n.log,
+		Self: n.set.Node, DataCentre: n.set.DataCentre, Nodes: local, Known: n.peers.known, Answered: n.peers.answered,
+		Remote: n.peers.client, Tables: n.relayServer.Tables(), Teller: n.relayServer, Log: n.log,
 	}
-	for _, table := range n.teller.Tables() {
+	for _, table := range n.relayServer.Tables() {
 		table.Hold()
 	}
 }
--- a/internal/entry/rollouts.go
+++ b/internal/entry/rollouts.go
@@ -15,13 +15,13 @@
 // rolloutTable holds the records of roll-outs, by service.
 const rolloutTable = "rollouts"
 
-// provisionRollouts builds what moves traffic to other versions of services.
+// provisionRollouts builds the parts that move traffic to other versions of services.
 func (n *Node) provisionRollouts() {
 	n.owner = &rollout.Owner{
-		Bounds: n.set.Rollouts, Book: rolloutBook{n}, Targets: n.targets.Versions, Nodes: n.nodes, Log: n.log,
+		Bounds: n.set.Rollouts, Book: rolloutStore{n}, Targets: n.targets.Versions, Nodes: n.nodes, Log: n.log,
 		Withdrawn: func(o rollout.Order) bool { return n.gate.Withdrawn(o) },
 	}
-	n.gate = rollout.NewGate(n.set.Node, rolloutOwners{n}, n.nodes, n.log)
+	n.gate = rollout.NewGate(n.set.Node, rolloutReporter{n}, n.nodes, n.log)
 	n.targets.Rollouts = n.gate
 	n.metrics.GaugeVec("topazmoor_entry_rollout_share", "Share of the calls that go to the version of a roll-out, where this node decides on it, by service.", "service", func() map[string]float64 {
 		out := make(map[string]float64)
@@ -32,11 +32,12 @@
 	})
 }
 
-// rolloutOwners reports to the node that decides on a roll-out. It implements rollout.Remote.
-type rolloutOwners struct{ n *Node }
+// rolloutReporter sends reports to the node that decides on a roll-out. It implements
+// rollout.Remote.
+type rolloutReporter struct{ n *Node }
 
 // Report implements rollout.Remote.
-func (o rolloutOwners) Report(ctx context.Context, r rollout.Report) (rollout.Answer, error) {
+func (o rolloutReporter) Report(ctx context.Context, r rollout.Report) (rollout.Answer, error) {
 	lead, self := o.n.router.Lead("roll-out of " + r.Order.Service)
 	if self {
 		return o.n.owner.Report(ctx, r)
@@ -44,17 +45,18 @@
 	a, err := o.n.peers.client.ReportRollout(ctx, lead.Addr, r)
 	var refused *verdict.Error
 	if err != nil && ctx.Err() == nil && !errors.As(err, &refused) {
-		// One that answers, but knows nothing yet, is well: it also forms batches.
+		// A node that answers with a refusal is alive, even if it lacks data: it also forms batches.
 		o.n.router.Suspect(lead)
 	}
 	return a, err
 }
 
-// rolloutBook keeps records of roll-outs in the store. It implements rollout.Book.
-type rolloutBook struct{ n *Node }
+// rolloutStore stores the records of roll-outs. It implements rollout.Book.
+type rolloutStore struct{ n *Node }
 
-// Save implements rollout.Book. The row that the operator reads is written with the record.
-func (b rolloutBook) Save(ctx context.Context, r rollout.Record) (rollout.Record, error) {
+// Save implements rollout.Book. The row that the operator reads is written in the same
+// transaction.
+func (b rolloutStore) Save(ctx context.Context, r rollout.Record) (rollout.Record, error) {
 	row, kept, err := b.load(ctx, r.Service)
 	switch {
 	case err != nil:
@@ -62,7 +64,7 @@
 	case r.Revision.Before(kept.Revision):
 		return rollout.Record{}, rollout.ErrSuperseded
 	case kept.Revision == r.Revision && (kept.State.Final() || r.State == rollout.Running):
-		// What was decided stands, and an order begins once.
+		// A final decision is not overwritten, and a roll-out starts only once.
 		return kept, nil
 	}
 	value, err := json.Marshal(r)
@@ -84,8 +86,8 @@
 	return r, nil
 }
 
-// load returns the record of a service's last roll-out; zero for none.
-func (b rolloutBook) load(ctx context.Context, service string) (store.Row, rollout.Record, error) {
+// load returns the record of a service's last roll-out; a zero record if there is none.
+func (b rolloutStore) load(ctx context.Context, service string) (store.Row, rollout.Record, error) {
 	row, err := b.n.env.Store.Get(ctx, rolloutTable, service)
 	if errors.Is(err, store.ErrNotFound) {
 		return store.Row{}, rollout.Record{}, nil
--- a/internal/entry/suspended.go
+++ b/internal/entry/suspended.go
@@ -6,47 +6,49 @@
 	"topazmoor/internal/watch"
 )
 
-// distrustTime is the longest that a node sends nothing after its host stood still. Without
-// the store it then goes on by what it knew, like any node that the store does not answer.
-const distrustTime = 2 * time.Second
+// maxDistrust is the longest that a node sends nothing after a suspension of its host. If the
+// store does not answer within that time, the node continues with the data that it has, like
+// any node without a connection to the store.
+const maxDistrust = 2 * time.Second
 
-// woke is told that the host was suspended for a time. Everything that this node believes is
-// older by that than it looks: until the store was heard again nothing is sent on it.
-func (n *Node) woke(gap time.Duration) {
+// hostResumed is called after the host was suspended for gap. The node's data is older by gap
+// than its timestamps show, so nothing is sent until the store has confirmed it.
+func (n *Node) hostResumed(gap time.Duration) {
 	now := time.Now()
-	n.distrusted.Store(&now)
-	n.log.Warn("the host stood still, asking the store what has changed", "ms", gap.Milliseconds(), "in_flight", n.front.InFlight())
-	n.front.Woke(gap)
-	for _, t := range n.followed() {
+	n.untrustedSince.Store(&now)
+	n.log.Warn("host was suspended, asking the store for changes", "ms", gap.Milliseconds(), "in_flight", n.passThrough.InFlight())
+	n.passThrough.Woke(gap)
+	for _, t := range n.followedTables() {
 		t.Distrust()
 	}
 	n.follower.Renew()
 	n.limiter.Clear()
 	n.gate.Lapse()
 	n.owner.Lapse()
-	// Their other ends may be gone.
+	// The other ends of these connections may be gone.
 	n.env.Conns.Close()
 }
 
-// followed are the tables that this node follows.
-func (n *Node) followed() []*watch.Table {
-	return []*watch.Table{n.servers, n.config, n.quarantine, n.peers.members}
+// followedTables returns the watches of the tables that this node follows.
+func (n *Node) followedTables() []*watch.Table {
+	return []*watch.Table{n.targetTable, n.configTable, n.quarantineTable, n.peers.members}
 }
 
-// trusted looks whether the host stood still, and reports whether what this node knows may be
-// acted on: the store has answered since, for the targets and for the operator's table.
+// trusted checks for a suspension of the host and reports whether the node's data may be used:
+// after a suspension the store must have confirmed the tables of the targets and of the
+// operator.
 func (n *Node) trusted() bool {
 	n.detector.Check()
-	since := n.distrusted.Load()
+	since := n.untrustedSince.Load()
 	if since == nil {
 		return true
 	}
-	heard := n.servers.Trusted() && n.config.Trusted()
-	if !heard && time.Since(*since) < distrustTime {
+	confirmed := n.targetTable.Trusted() && n.configTable.Trusted()
+	if !confirmed && time.Since(*since) < maxDistrust {
 		return false
 	}
-	if n.distrusted.CompareAndSwap(since, nil) {
-		n.log.Info("what the node knows is in use again", "heard", heard, "ms", time.Since(*since).Milliseconds())
+	if n.untrustedSince.CompareAndSwap(since, nil) {
+		n.log.Info("sending requests again after a suspension of the host", "heard", confirmed, "ms", time.Since(*since).Milliseconds())
 	}
 	return true
 }
--- a/internal/entry/unreadable.go
+++ b/internal/entry/unreadable.go
@@ -7,34 +7,34 @@
 	"topazmoor/internal/store"
 )
 
-// unreadable keeps which entries of targets were left out.
+// unreadable holds the keys of target rows that are ignored because they describe no usable
+// target.
 type unreadable struct {
-	mu sync.Mutex
-	// seen has the keys of the entries.
-	seen map[string]bool
+	mu   sync.Mutex
+	keys map[string]bool
 }
 
-// note logs an entry that is left out, which has changed.
-func (u *unreadable) note(r store.Row, err error, log *slog.Logger) {
+// add records and logs a changed row that is ignored.
+func (u *unreadable) add(r store.Row, err error, log *slog.Logger) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.seen == nil {
-		u.seen = make(map[string]bool)
+	if u.keys == nil {
+		u.keys = make(map[string]bool)
 	}
-	u.seen[r.Key] = true
+	u.keys[r.Key] = true
 	log.Error("entry of a target left out", "target", r.Key, "row_version", r.Version, "err", err)
 }
 
-// drop notes that an entry is not left out any more.
-func (u *unreadable) drop(key string) {
+// remove records that a row is no longer ignored.
+func (u *unreadable) remove(key string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	delete(u.seen, key)
+	delete(u.keys, key)
 }
 
-// count returns how many entries are left out now.
+// count returns the number of rows that are ignored now.
 func (u *unreadable) count() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return len(u.seen)
+	return len(u.keys)
 }
--- a/internal/entry/versions.go
+++ b/internal/entry/versions.go
@@ -7,67 +7,69 @@
 	"topazmoor/internal/store"
 )
 
-// hearsayPause is how long a node waits for a change by the operator that another one has
-// before it asks the store again: the store tells all nodes within some milliseconds,
-// and changes are gathered for configPause.
-const hearsayPause = 2 * configPause
+// recheckDelay is how long a node waits for a change of the operator's table that another node
+// has, before it asks the store again. The store notifies all nodes within some milliseconds,
+// and changes are collected for configPause.
+const recheckDelay = 2 * configPause
 
-// versions takes in what the other nodes say of the operator's table: its configuration
-// and the drains of data centres. A call that waits for changes may go silent without an
-// end; it would be noticed only when its waiting time is over. It implements peer.Versions.
-type versions struct {
+// versionTracker compares this node's version of the operator's table, which holds the
+// configuration and the drains of data centres, with those that other nodes report. A long
+// poll at the store may hang without an error; on its own that would be noticed only when the
+// poll times out. It implements peer.Versions.
+type versionTracker struct {
 	n *Node
 
 	mu sync.Mutex
-	// mine is the newest version of a row that this process ever saw there.
-	mine store.Version
-	// waiting says that a look at the newest version heard of is on its way.
-	waiting bool
-	newest  store.Version
-	// asked is the newest version that the store was asked for again: once is enough,
-	// as that takes a new call.
-	asked store.Version
+	// own is the newest row version that this process has received.
+	own store.Version
+	// recheckPending reports that a recheck is scheduled; newest is the newest version that
+	// another node reported.
+	recheckPending bool
+	newest         store.Version
+	// requested is the newest version for which the store was asked again. One request is enough,
+	// as it opens a new call.
+	requested store.Version
 }
 
 // Mine implements peer.Versions.
-func (v *versions) Mine() store.Version {
+func (v *versionTracker) Mine() store.Version {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.mine
+	return v.own
 }
 
-// saw takes in the operator's table.
-func (v *versions) saw(rows map[string]store.Row) {
+// observe records the row versions of the operator's table.
+func (v *versionTracker) observe(rows map[string]store.Row) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, r := range rows {
-		v.mine = v.mine.Max(r.Version)
+		v.own = v.own.Max(r.Version)
 	}
 }
 
 // Heard implements peer.Versions.
-func (v *versions) Heard(version store.Version) {
+func (v *versionTracker) Heard(version store.Version) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.newest = v.newest.Max(version)
-	if !v.mine.Before(v.newest) || v.newest == v.asked || v.waiting {
+	if !v.own.Before(v.newest) || v.newest == v.requested || v.recheckPending {
 		return
 	}
-	v.waiting = true
-	time.AfterFunc(hearsayPause, v.look)
+	v.recheckPending = true
+	time.AfterFunc(recheckDelay, v.recheck)
 }
 
-// look asks the store again if this node still lacks what another one has.
-func (v *versions) look() {
+// recheck asks the store again if this node still lacks a version that another node has.
+func (v *versionTracker) recheck() {
 	v.mu.Lock()
-	v.waiting = false
-	newest, mine := v.newest, v.mine
-	if !mine.Before(newest) {
+	v.recheckPending = false
+	newest, own := v.newest, v.own
+	if !own.Before(newest) {
 		v.mu.Unlock()
 		return
 	}
-	v.asked = newest
+	v.requested = newest
 	v.mu.Unlock()
-	v.n.log.Warn("another node has a newer row of the operator, asking the store again", "row_version", mine, "newer", newest)
-	v.n.config.Poke()
+	v.n.log.Warn("another node reports a newer operator row, asking the store again", "row_version", own, "newer", newest)
+	v.n.configTable.Poke()
 }
