--- a/internal/passthrough/server.go
+++ b/internal/passthrough/server.go
@@ -87,7 +87,7 @@
 	StageLate      StageOutcome = "late"
 	StageInputGone StageOutcome = "input_gone"
 	StageFailed    StageOutcome = "failed"
-	StageLeft      StageOutcome = "left"
+	StageCanceled  StageOutcome = "left"
 )
 
 // Config holds the settings and dependencies of a Server.
--- a/internal/passthrough/stages.go
+++ b/internal/passthrough/stages.go
@@ -209,7 +209,7 @@
 	case err == nil:
 		return StageProduced
 	case ctx.Err() != nil:
-		return StageLeft
+		return StageCanceled
 	case errors.Is(err, stagebatch.ErrLate):
 		return StageLate
 	case errors.Is(err, stagebatch.ErrInputGone):
