--- a/internal/sharedrate/broker.go
+++ b/internal/sharedrate/broker.go
@@ -7,241 +7,252 @@
 )
 
 const (
-	// askTimeout is how long a granter may take: a round trip is 1 to 3 ms, and a busy node is
-	// held up for some tens of ms. A request waits for it.
+	// askTimeout bounds one permit request to another node. A round trip takes 1 to 3 ms, and a
+	// busy node may respond some tens of ms late. Requests that need a permit wait meanwhile.
 	askTimeout = 150 * time.Millisecond
-	// passOverTime is how long a node that did not answer is passed over.
-	passOverTime = 2 * time.Second
-	// goneAfter is how long a node must not have answered before the next one takes its place
-	// in full.
-	goneAfter = 3 * time.Second
-	// lookEvery is how often a node that grants in the place of another looks whether that one
-	// answers.
-	lookEvery = 500 * time.Millisecond
-	// askAgain is when a rate is asked for again of which no granter could be reached.
-	askAgain = 300 * time.Millisecond
-	// unknownShare is the part of a rate that the first granter gives out before it knows whom it
-	// reaches.
-	unknownShare = 0.5
-	// sweepEvery is how often unused rates are forgotten.
-	sweepEvery = 10 * time.Second
+	// skipTime is how long after its last failure to answer a node is not asked for permits.
+	skipTime = 2 * time.Second
+	// failedAfter is the time between the first and the last of consecutive failures to answer from
+	// which on a node is treated as failed: the next node in the order then takes its place and its
+	// share.
+	failedAfter = 3 * time.Second
+	// predecessorCheckInterval is the shortest time between two checks of a node that comes earlier
+	// in the order, by a node that grants in its place.
+	predecessorCheckInterval = 500 * time.Millisecond
+	// retryNoGranter is how long a node waits before it asks for permits of a rate again after it
+	// reached no granter.
+	retryNoGranter = 300 * time.Millisecond
+	// initialShare is the share of a rate that the first granter gives out before it knows which
+	// fraction of the nodes it reaches.
+	initialShare = 0.5
+	// sweepInterval is how often the state of unused rates is removed.
+	sweepInterval = 10 * time.Second
 )
 
-// Broker holds what one node knows of the rates that it shares: the permits that it was granted,
-// those that it grants, and which nodes answer. It does no I/O. It must not be used concurrently.
+// Broker is the state of one node for all rates that it shares: the permits granted to it, the
+// permits that it grants, and which nodes answer. It does no I/O. It must not be used concurrently.
 type Broker struct {
 	self    Node
 	granter *Granter
 	owners  *Owners
-	held    map[string]*holding
-	silent  map[string]*silence
+	caches  map[string]*permitCache
+	peers   map[string]*peerHealth
 	swept   time.Time
 	counts  Counts
-	// known is set once the other nodes are.
-	known bool
-	reach reach
+	// known is set by the first SetNodes.
+	known        bool
+	reachability reachability
 }
 
-// Counts are totals of a node.
+// Counts are the totals of one node since its process started.
 type Counts struct {
-	// Taken are the permits that requests of this node got, Denied the requests that got
-	// none.
+	// Taken counts the permits that requests of this node got, Denied the requests that got none.
 	Taken, Denied float64
-	// Granted are the permits that this node granted, Asked the asks that it answered.
+	// Granted counts the permits that this node granted, Asked the permit requests that it
+	// answered.
 	Granted, Asked float64
 }
 
-// silence is what is known of whether a node answers.
-type silence struct {
-	// since is when it first did not answer, and last when it last did not; zero while it
-	// does.
-	since, last time.Time
-	// looked is when it was last asked only for that.
-	looked time.Time
+// peerHealth records whether another node answers.
+type peerHealth struct {
+	// failingSince is when the first of the current consecutive failures to answer was seen; zero
+	// while the node answers. lastFailure is when the last failure was seen.
+	failingSince, lastFailure time.Time
+	// lastCheck is when this node last checked, with an empty request, whether the other one
+	// answers.
+	lastCheck time.Time
 }
 
-// NewBroker returns the Broker of a process that begins now, which knows no other node yet. random
-// returns a random number from 0 to 1; nil for one of its own.
+// NewBroker returns the Broker of a process that starts at now and knows no other node yet. random
+// returns a random number in [0, 1); nil selects math/rand.
 func NewBroker(self Node, random func() float64, now time.Time) *Broker {
 	if random == nil {
 		random = rand.Float64
 	}
 	return &Broker{
 		self: self, granter: NewGranter(random), owners: NewOwners(self, now),
-		held: make(map[string]*holding), silent: make(map[string]*silence), swept: now,
+		caches: make(map[string]*permitCache), peers: make(map[string]*peerHealth), swept: now,
 	}
 }
 
-// SetNodes takes in the other nodes. Until then there are no permits.
+// SetNodes replaces the set of other nodes. Before the first call there are no permits.
 func (b *Broker) SetNodes(others []Node, now time.Time) {
 	b.owners.Set(others, now)
 	b.known = true
 }
 
-// Clear drops the permits that are held.
+// Clear drops all unused permits of this node.
 func (b *Broker) Clear() {
-	for _, h := range b.held {
-		h.permits, h.opens = nil, time.Time{}
+	for _, h := range b.caches {
+		h.permits, h.retryAt = nil, time.Time{}
 	}
 }
 
-func (b *Broker) holding(key string) *holding {
-	h := b.held[key]
+func (b *Broker) permitCache(key string) *permitCache {
+	h := b.caches[key]
 	if h == nil {
-		h = &holding{}
-		b.held[key] = h
+		h = &permitCache{}
+		b.caches[key] = h
 	}
 	return h
 }
 
-// Take takes a permit that is held and may be used by latest.
+// Take takes a cached permit of the rate that is usable now or becomes usable by latest.
 func (b *Broker) Take(key string, latest, now time.Time) (Permit, bool) {
-	p, ok := b.holding(key).take(latest, now)
+	p, ok := b.permitCache(key).take(latest, now)
 	if ok {
 		b.counts.Taken++
 	}
 	return p, ok
 }
 
-// Opens returns when it serves to ask for permits of a rate.
-func (b *Broker) Opens(key string) time.Time { return b.holding(key).opens }
+// Opens returns the earliest time at which to ask for permits of the rate again.
+func (b *Broker) Opens(key string) time.Time { return b.permitCache(key).retryAt }
 
-// GiveBack returns a permit that was not used.
-func (b *Broker) GiveBack(key string, p Permit, now time.Time) { b.holding(key).giveBack(p, now) }
+// GiveBack returns an unused permit to the cache.
+func (b *Broker) GiveBack(key string, p Permit, now time.Time) { b.permitCache(key).giveBack(p, now) }
 
-// Ask returns what to ask for, for as many requests that wait until latest at the most.
+// Ask builds the permit request for waiting requests, the last of which gives up at latest.
 func (b *Broker) Ask(rate Rate, waiting int, latest, now time.Time) Ask {
 	return Ask{
 		Key: rate.Key, Asker: b.self.Name, PerSecond: rate.PerSecond, Heard: now.Sub(rate.Heard),
-		Want: b.holding(rate.Key).want(waiting, now), Within: max(latest.Sub(now), 0),
+		Want: b.permitCache(rate.Key).want(waiting, now), Within: max(latest.Sub(now), 0),
 	}
 }
 
-// Whom returns the node to ask for permits of a rate; ok is false for none.
+// Whom returns the node to ask for permits of the rate: the first in the order that did not fail to
+// answer within the last skipTime. ok is false if there is none.
 func (b *Broker) Whom(key string, now time.Time) (n Node, ok bool) {
 	if !b.known {
 		return Node{}, false
 	}
 	return b.owners.First(key, func(name string) bool {
-		s := b.silent[name]
-		return s != nil && !s.since.IsZero() && now.Sub(s.last) < passOverTime
+		s := b.peers[name]
+		return s != nil && !s.failingSince.IsZero() && now.Sub(s.lastFailure) < skipTime
 	})
 }
 
-// Granted takes in what was granted to this node; nil for no answer.
+// Granted applies the response to a permit request of this node; a nil g means that no granter
+// answered.
 func (b *Broker) Granted(key string, g *Grant, now time.Time) {
 	if g == nil {
-		g = &Grant{Opens: askAgain}
+		g = &Grant{Opens: retryNoGranter}
 	}
-	b.holding(key).granted(*g, now)
+	b.permitCache(key).add(*g, now)
 }
 
-// ErrNotReady is the cause of an ask that this node could not make.
+// ErrNotReady is the cause of a permit request that this node could not send. It does not count as
+// a failure of the other node.
 var ErrNotReady = errors.New("sharedrate: other nodes cannot be asked yet")
 
-// Answered notes whether another node answered.
+// Answered records the outcome of a permit request to another node.
 func (b *Broker) Answered(name string, err error, now time.Time) {
-	s := b.silence(name)
-	b.reach.answered(name, err == nil)
+	s := b.peerHealth(name)
+	b.reachability.answered(name, err == nil)
 	switch {
 	case err == nil:
-		s.since = time.Time{}
+		s.failingSince = time.Time{}
 	case errors.Is(err, ErrNotReady):
-	case s.since.IsZero():
-		s.since, s.last = now, now
+	case s.failingSince.IsZero():
+		s.failingSince, s.lastFailure = now, now
 	default:
-		s.last = now
+		s.lastFailure = now
 	}
 }
 
-func (b *Broker) silence(name string) *silence {
-	s := b.silent[name]
+func (b *Broker) peerHealth(name string) *peerHealth {
+	s := b.peers[name]
 	if s == nil {
-		s = &silence{}
-		b.silent[name] = s
+		s = &peerHealth{}
+		b.peers[name] = s
 	}
 	return s
 }
 
-// gone reports whether a node has not answered for so long that others take its place.
-func (b *Broker) gone(name string) bool {
-	s := b.silent[name]
-	return s != nil && !s.since.IsZero() && s.last.Sub(s.since) >= goneAfter
+// failed reports whether a node has not answered for failedAfter, so that others take its place.
+func (b *Broker) failed(name string) bool {
+	s := b.peers[name]
+	return s != nil && !s.failingSince.IsZero() && s.lastFailure.Sub(s.failingSince) >= failedAfter
 }
 
-// Grant answers an ask of another node, or of this one. The nodes of look are to be asked whether
-// they answer: those that should have been asked before this one, and now and then others.
-func (b *Broker) Grant(a Ask, now time.Time) (g Grant, look []Node) {
+// Grant answers a permit request of another node or of this one. The caller must send an empty
+// request to each node of toCheck and report the outcome to Answered: these are the nodes that come
+// before this one in the order of the rate, and a sample of all nodes.
+func (b *Broker) Grant(a Ask, now time.Time) (g Grant, toCheck []Node) {
 	if a.Key == "" {
 		return Grant{}, nil
 	}
-	place, before := b.owners.Place(a.Key, b.gone)
+	place, predecessors := b.owners.Place(a.Key, b.failed)
 	if place < len(shares) {
-		every := reachEvery
-		if len(before) > 0 {
-			every = reachSoon
+		every := checkInterval
+		if len(predecessors) > 0 {
+			every = fastCheckInterval
 		}
-		look = append(b.look(before, now), b.reach.look(b.owners.nodes, b.self.Name, every, now)...)
+		toCheck = append(b.toCheck(predecessors, now), b.reachability.toCheck(b.owners.nodes, b.self.Name, every, now)...)
 	}
-	g = b.granter.Grant(a, b.share(a.Key, place, len(before), now), now)
+	g = b.granter.Grant(a, b.share(a.Key, place, len(predecessors), now), now)
 	b.counts.Asked++
 	b.counts.Granted += float64(g.Permits)
-	return g, look
+	return g, toCheck
 }
 
-// look returns those of some nodes that were not looked at lately.
-func (b *Broker) look(before []Node, now time.Time) []Node {
+// toCheck returns those of the nodes that have not been checked for predecessorCheckInterval, and
+// marks them as checked.
+func (b *Broker) toCheck(predecessors []Node, now time.Time) []Node {
 	var out []Node
-	for _, n := range before {
-		if s := b.silence(n.Name); now.Sub(s.looked) >= lookEvery {
-			s.looked = now
+	for _, n := range predecessors {
+		if s := b.peerHealth(n.Name); now.Sub(s.lastCheck) >= predecessorCheckInterval {
+			s.lastCheck = now
 			out = append(out, n)
 		}
 	}
 	return out
 }
 
-// share returns the part of a rate that this node grants, at its place among the nodes that live.
-// One that few others answer may be cut off from the rest, who grant by themselves: it keeps to the
-// part of the nodes that it reaches. One that takes the place of those before it must know, and the
-// first begins with less than all of the rate until it does.
-func (b *Broker) share(key string, place, before int, now time.Time) float64 {
+// share returns the share of a rate that this node grants. place is its place among the nodes that
+// have not failed, predecessors how many nodes come before it, failed ones included.
+//
+// A node that reaches less than minFullReach of the nodes may be partitioned from the others, which
+// then choose a granter of their own: it grants at most the fraction of the nodes that it reaches.
+// Until the fraction is known, the first granter grants a reduced share: 1/nodes if it replaces
+// failed predecessors, else initialShare.
+func (b *Broker) share(key string, place, predecessors int, now time.Time) float64 {
 	share := shareOf(place, !b.known || b.owners.Settling(key, now))
 	nodes := b.owners.Count()
-	reach, known := b.reach.part(nodes, now)
+	reachability, known := b.reachability.fraction(nodes, now)
 	switch {
-	case known && reach < least(nodes):
-		return min(share, reach)
+	case known && reachability < minFullReach(nodes):
+		return min(share, reachability)
 	case known || nodes < 2 || place > 0:
-	case before > 0:
+	case predecessors > 0:
 		return min(share, 1/float64(nodes))
 	default:
-		return min(share, unknownShare)
+		return min(share, initialShare)
 	}
 	return share
 }
 
-// Forget drops what is held of a rate.
-func (b *Broker) Forget(key string) { delete(b.held, key) }
+// Forget drops this node's permits and usage of the rate.
+func (b *Broker) Forget(key string) { delete(b.caches, key) }
 
 // Counts returns the totals so far.
 func (b *Broker) Counts() Counts { return b.counts }
 
-// Sweep forgets what is not used.
+// Sweep removes the state of rates and nodes that are no longer used.
 func (b *Broker) Sweep(now time.Time) {
-	if now.Sub(b.swept) < sweepEvery {
+	if now.Sub(b.swept) < sweepInterval {
 		return
 	}
 	b.swept = now
 	b.granter.Sweep(now)
-	for key, h := range b.held {
-		if now.Sub(h.used) > keysLife {
-			delete(b.held, key)
+	for key, h := range b.caches {
+		if now.Sub(h.lastUsed) > idleTTL {
+			delete(b.caches, key)
 		}
 	}
-	for name, s := range b.silent {
-		if now.Sub(s.last) > keysLife && now.Sub(s.looked) > keysLife {
-			delete(b.silent, name)
+	for name, s := range b.peers {
+		if now.Sub(s.lastFailure) > idleTTL && now.Sub(s.lastCheck) > idleTTL {
+			delete(b.peers, name)
 		}
 	}
 }
--- a/internal/sharedrate/broker_test.go
+++ b/internal/sharedrate/broker_test.go
@@ -9,8 +9,8 @@
 
 var began = time.Unix(1000, 0)
 
-// grants counts the permits that a granter gives to another node that asks all the time.
-func grants(b *Broker, from, to time.Duration) int {
+// grantCount counts the permits that a granter gives to another node that asks every 10 ms.
+func grantCount(b *Broker, from, to time.Duration) int {
 	n := 0
 	for at := from; at < to; at += 10 * time.Millisecond {
 		g, _ := b.Grant(Ask{Key: "k", Asker: "other", PerSecond: 20, Want: 1}, began.Add(at))
@@ -19,14 +19,14 @@
 	return n
 }
 
-// What was granted before a process began, by it or by another one that was the first, may still be
-// used: it begins with a fifth.
+// Permits granted before a process started, by its predecessor or by another first granter, may
+// still be in use: a new granter starts with a fifth of the rate.
 func TestGranterThatWasNotTheFirstBeginsWithLess(t *testing.T) {
 	c := qt.New(t)
 	b := NewBroker(Node{Name: "n0"}, nil, began)
 	b.SetNodes(nil, began)
-	c.Check(grants(b, 0, 2900*time.Millisecond) <= 13, qt.IsTrue)
-	c.Check(grants(b, 3*time.Second, 5*time.Second) >= 36, qt.IsTrue)
+	c.Check(grantCount(b, 0, 2900*time.Millisecond) <= 13, qt.IsTrue)
+	c.Check(grantCount(b, 3*time.Second, 5*time.Second) >= 36, qt.IsTrue)
 
 	o := NewOwners(Node{Name: "n0"}, began)
 	at := began.Add(time.Minute)
@@ -43,11 +43,12 @@
 	c.Check(settling > 3 && settling < 10, qt.IsTrue, qt.Commentf("%d of 10 rates had another first node", settling))
 }
 
-// A permit that is not used in time is lost: those of a quiet second must not meet in the next one.
+// An expired permit is dropped, also when it is given back: unused permits of one second must not
+// add to those of the next.
 func TestPermitsAreNotKept(t *testing.T) {
 	c := qt.New(t)
-	var h holding
-	h.granted(Grant{Permits: 3, Spacing: 10 * time.Millisecond}, began)
+	var h permitCache
+	h.add(Grant{Permits: 3, Spacing: 10 * time.Millisecond}, began)
 	at := began.Add(200 * time.Millisecond)
 	p, ok := h.take(at, at)
 	c.Assert(ok, qt.IsTrue)
--- a/internal/sharedrate/granter.go
+++ b/internal/sharedrate/granter.go
@@ -5,37 +5,40 @@
 	"time"
 )
 
-// Ask asks a granter for permits of one rate.
+// Ask is a request for permits of one rate.
 type Ask struct {
-	// Key names the rate; "" only asks whether the granter answers.
+	// Key names the rate. An Ask with an empty key only checks whether the granter answers.
 	Key string
-	// Asker is the node that asks.
+	// Asker is the name of the requesting node.
 	Asker string
-	// PerSecond is the rate as the asker last heard of it, Heard how long ago that was.
+	// PerSecond is the rate that the requesting node last observed, in requests per second. Heard
+	// is the time since that observation, or, with Ended, since the end of the limit was observed.
 	PerSecond float64
 	Heard     time.Duration
-	// Ended says that the asker heard that there is no limit any more.
+	// Ended reports that the requesting node observed the end of the limit.
 	Ended bool
-	// Want is how many permits it can use, within Within from now.
+	// Want is the number of permits that the node can use within the duration Within.
 	Want   int
 	Within time.Duration
 }
 
-// Grant answers an Ask.
+// Grant is the response to an Ask.
 type Grant struct {
-	// Permits is how many were granted: the first is of a slot in In from now, each other one
-	// of a slot Spacing after the last. Slots that have passed may be used at once.
+	// Permits is the number of granted permits. The first is for a slot that opens after In, each
+	// further one for a slot that opens Spacing after the previous one. In may be negative: a slot
+	// that has passed may be used at once.
 	Permits     int
 	In, Spacing time.Duration
-	// Opens is when it serves to ask again, where fewer were granted than wanted.
+	// Opens is how long to wait before the next request, where fewer permits were granted than
+	// wanted.
 	Opens time.Duration
-	// Ended says that the limit has ended, as another node heard that long ago.
+	// Ended reports that the limit has ended; Heard is the time since a node observed this.
 	Ended bool
 	Heard time.Duration
 }
 
-// The aim that all figures here keep to: in any Span a target gets no more than Excess times its
-// rate and Fixed requests.
+// The bound that all constants here keep: in any period of length Span, all nodes together send a
+// target at most Excess times its rate times Span, plus Fixed requests.
 const (
 	Span   = 4 * time.Second
 	Excess = 1.5
@@ -43,78 +46,81 @@
 )
 
 const (
-	// permitLife is how long a permit may be used: while a connection is opened. What was
-	// granted in Span and permitLife can meet in one Span.
-	permitLife = 300 * time.Millisecond
-	// catchUpTime and catchUpLeast are what of a rate that was not used may be made up for. A
-	// slot is asked for some time after it opens.
-	catchUpTime  = 100 * time.Millisecond
-	catchUpLeast = 1
-	// horizon is how far ahead permits are given out.
+	// permitTTL is how long after its slot opens a permit may be used; opening a connection takes
+	// part of it. Permits granted over Span plus permitTTL can be used within one Span.
+	permitTTL = 300 * time.Millisecond
+	// catchUpTime and minCatchUp bound how many unused past slots a granter of a whole rate still
+	// gives out: the slots of catchUpTime, plus minCatchUp. Nodes ask for a slot some time after it
+	// opens.
+	catchUpTime = 100 * time.Millisecond
+	minCatchUp  = 1
+	// horizon is how far in the future the slots are that may be granted.
 	horizon = time.Second
-	// leastPerSecond is what is sent to a target that takes less, or nothing: somebody must hear
-	// when that ends.
-	leastPerSecond = 0.1
-	// mostAsks is how many asks there should be for each slot at the most: fewer would leave
-	// some unused. asksWindow is the least time over which they are counted.
-	mostAsks   = 6
-	asksWindow = time.Second
-	// mostSpread is how much longer than to the next slot a node is told to stay away.
-	mostSpread = 15 * time.Second
-	// keysLife is how long a rate is remembered that nobody asks for.
-	keysLife = time.Minute
-	// mostPermits bounds one grant.
-	mostPermits = 1000
+	// minPerSecond is the rate that is granted where the target advertises a lower one or zero:
+	// only the answer to a request shows that the limit was raised.
+	minPerSecond = 0.1
+	// maxRequestsPerSlot is the target number of permit requests per slot; with fewer, some slots
+	// would stay unused. requestWindow is the shortest time over which the requests are counted.
+	maxRequestsPerSlot = 6
+	requestWindow      = time.Second
+	// maxRetrySpread bounds the random delay that is added to the time until the next slot when a
+	// node is told when to ask again.
+	maxRetrySpread = 15 * time.Second
+	// idleTTL is how long the state of a rate or a node that is not used is kept.
+	idleTTL = time.Minute
+	// maxPermits bounds the permits of one grant.
+	maxPermits = 1000
 )
 
-// shares are the parts of a rate that its granters give out: the first that lives all of it, and
-// those who stand in for it where it cannot be reached a part. They may all grant at once, while
-// nodes differ over who lives: Span and permitLife times the sum, and what is caught up, is
-// within the aim.
+// shares are the shares of a rate that its granters give out, by their place: the first node that
+// has not failed gives out the whole rate, those that replace it when it cannot be reached give out
+// a part. All may grant at once while nodes disagree about which nodes have failed: (Span +
+// permitTTL) times the sum of the shares times the rate, plus the slots of the catch-up, stays
+// within the bound.
 var shares = []float64{1, 0.2, 0.1}
 
-// settlingShare is the part of a granter that may not be the only one yet.
+// settlingShare bounds the share of a granter while another one may still grant the same rate.
 const settlingShare = 0.2
 
-// Granter gives out the permits of the rates that a node is asked for. It must not be used
-// concurrently.
+// Granter grants the permits of the rates that other nodes and this one ask for. It must not be
+// used concurrently.
 type Granter struct {
-	// Rand returns a random number from 0 to 1.
+	// Rand returns a random number in [0, 1).
 	Rand func() float64
 
-	rates map[string]*granted
+	rates map[string]*rateState
 }
 
-// granted is the state of one rate.
-type granted struct {
+// rateState is the state of one rate.
+type rateState struct {
 	perSecond float64
-	// heard is when the rate was heard of, ended when that there is none any more; zero for
-	// not.
-	heard, ended time.Time
-	// next is the time of the first slot that is not given out.
-	next time.Time
-	// asks counts the asks since counted; spread is the time over which nodes that got nothing
-	// come back.
-	asks    int
-	counted time.Time
-	spread  time.Duration
-	asked   time.Time
+	// confirmedAt is when a node last observed perSecond; ended is when a node observed the end
+	// of the limit, zero if none did.
+	confirmedAt, ended time.Time
+	// nextSlot is the time of the first slot that is not granted yet.
+	nextSlot time.Time
+	// requests counts the permit requests since countedSince. retrySpread bounds the random delay
+	// after which a node that got fewer permits than it wanted asks again.
+	requests     int
+	countedSince time.Time
+	retrySpread  time.Duration
+	lastRequest  time.Time
 }
 
-// NewGranter returns a Granter without rates.
+// NewGranter returns a Granter without any state of rates.
 func NewGranter(random func() float64) *Granter {
-	return &Granter{Rand: random, rates: make(map[string]*granted)}
+	return &Granter{Rand: random, rates: make(map[string]*rateState)}
 }
 
-// Grant answers an ask by a granter that gives out a share of the rate.
+// Grant answers a permit request, as a granter that gives out this share of the rate.
 func (g *Granter) Grant(a Ask, share float64, now time.Time) Grant {
 	r := g.rates[a.Key]
 	if r == nil {
-		r = &granted{next: now, counted: now}
+		r = &rateState{nextSlot: now, countedSince: now}
 		g.rates[a.Key] = r
 	}
-	r.asked = now
-	if ended := r.hear(a, now); ended {
+	r.lastRequest = now
+	if ended := r.observe(a, now); ended {
 		return Grant{Ended: true, Heard: now.Sub(r.ended)}
 	}
 	if a.Want <= 0 {
@@ -123,12 +129,12 @@
 	if share == 0 {
 		return Grant{Opens: horizon}
 	}
-	return r.give(a, share, g.Rand(), now)
+	return r.allocate(a, share, g.Rand(), now)
 }
 
-// shareOf returns the part of a rate that a granter gives out. place is its place among the nodes
-// that may grant, from 0 on, and settling says that another one may have been the first until a
-// moment ago.
+// shareOf returns the share of a rate that a granter gives out. place is its place among the nodes
+// that may grant, starting at 0; settling reports that another node may have been the first granter
+// within settlingTime.
 func shareOf(place int, settling bool) float64 {
 	switch {
 	case place >= len(shares):
@@ -139,83 +145,84 @@
 	return shares[place]
 }
 
-// hear takes in what the asker heard, and reports whether the limit has ended for it.
-func (r *granted) hear(a Ask, now time.Time) (ended bool) {
-	heard := now.Add(-a.Heard)
+// observe applies the limit that the requesting node observed, if it is newer, and reports whether
+// the limit has ended for that node.
+func (r *rateState) observe(a Ask, now time.Time) (ended bool) {
+	confirmedAt := now.Add(-a.Heard)
 	if a.Ended {
-		if heard.After(r.heard) {
-			r.ended = heard
+		if confirmedAt.After(r.confirmedAt) {
+			r.ended = confirmedAt
 		}
 		return !r.ended.IsZero()
 	}
-	if !r.ended.IsZero() && !heard.After(r.ended) {
+	if !r.ended.IsZero() && !confirmedAt.After(r.ended) {
 		return true
 	}
 	r.ended = time.Time{}
-	if r.heard.IsZero() || heard.After(r.heard) {
-		r.perSecond, r.heard = a.PerSecond, heard
+	if r.confirmedAt.IsZero() || confirmedAt.After(r.confirmedAt) {
+		r.perSecond, r.confirmedAt = a.PerSecond, confirmedAt
 	}
 	return false
 }
 
-// give gives out the slots that the asker can use.
-func (r *granted) give(a Ask, share, random float64, now time.Time) Grant {
-	perSecond := max(r.perSecond, leastPerSecond) * share
+// allocate grants the slots that the requesting node can use.
+func (r *rateState) allocate(a Ask, share, random float64, now time.Time) Grant {
+	perSecond := max(r.perSecond, minPerSecond) * share
 	spacing := interval(perSecond)
-	r.count(spacing, now)
+	r.countRequest(spacing, now)
 	caughtUp := 0.0
 	if share == shares[0] {
-		caughtUp = catchUpLeast + catchUpTime.Seconds()*perSecond
+		caughtUp = minCatchUp + catchUpTime.Seconds()*perSecond
 	}
-	r.next = clampTime(r.next, now.Add(-times(spacing, caughtUp)), now.Add(horizon+spacing))
+	r.nextSlot = clampTime(r.nextSlot, now.Add(-scale(spacing, caughtUp)), now.Add(horizon+spacing))
 	within := min(max(a.Within, 0), horizon)
-	out := Grant{In: r.next.Sub(now), Spacing: spacing}
-	for out.Permits < min(a.Want, mostPermits) && r.next.Sub(now) <= within {
+	out := Grant{In: r.nextSlot.Sub(now), Spacing: spacing}
+	for out.Permits < min(a.Want, maxPermits) && r.nextSlot.Sub(now) <= within {
 		out.Permits++
-		r.next = r.next.Add(spacing)
+		r.nextSlot = r.nextSlot.Add(spacing)
 	}
 	if out.Permits < a.Want {
-		out.Opens = max(r.next.Sub(now), 0) + times(r.spread, random)
+		out.Opens = max(r.nextSlot.Sub(now), 0) + scale(r.retrySpread, random)
 	}
 	return out
 }
 
-// count counts an ask, and adapts the spread: so that, however many nodes ask, there are about
-// mostAsks for each slot.
-func (r *granted) count(spacing time.Duration, now time.Time) {
-	r.asks++
-	window := max(asksWindow, 4*spacing)
-	took := now.Sub(r.counted)
+// countRequest counts a permit request and adapts retrySpread so that about maxRequestsPerSlot
+// requests arrive per slot, however many nodes ask.
+func (r *rateState) countRequest(spacing time.Duration, now time.Time) {
+	r.requests++
+	window := max(requestWindow, 4*spacing)
+	took := now.Sub(r.countedSince)
 	if took < window {
 		return
 	}
-	perSlot := float64(r.asks) * float64(spacing) / float64(took)
-	r.spread = min(times(r.spread+spacing/4, perSlot/mostAsks), mostSpread)
-	if perSlot < mostAsks/2 {
-		r.spread /= 2
+	perSlot := float64(r.requests) * float64(spacing) / float64(took)
+	r.retrySpread = min(scale(r.retrySpread+spacing/4, perSlot/maxRequestsPerSlot), maxRetrySpread)
+	if perSlot < maxRequestsPerSlot/2 {
+		r.retrySpread /= 2
 	}
-	r.asks, r.counted = 0, now
+	r.requests, r.countedSince = 0, now
 }
 
-// Sweep forgets rates that nobody asks for.
+// Sweep removes the rates that no node has asked for within idleTTL.
 func (g *Granter) Sweep(now time.Time) {
 	for key, r := range g.rates {
-		if now.Sub(r.asked) > keysLife {
+		if now.Sub(r.lastRequest) > idleTTL {
 			delete(g.rates, key)
 		}
 	}
 }
 
-// Rates returns how many rates the granter keeps.
+// Rates returns the number of rates with state.
 func (g *Granter) Rates() int { return len(g.rates) }
 
-// interval is the time between two permits of a rate.
+// interval returns the time between two slots of a rate.
 func interval(perSecond float64) time.Duration {
 	return time.Duration(min(float64(time.Second)/perSecond, math.MaxInt32*float64(time.Second)))
 }
 
-// times returns a multiple of a duration.
-func times(d time.Duration, factor float64) time.Duration { return time.Duration(factor * float64(d)) }
+// scale returns a duration times a factor.
+func scale(d time.Duration, factor float64) time.Duration { return time.Duration(factor * float64(d)) }
 
 func clampTime(t, least, most time.Time) time.Time {
 	if t.Before(least) {
--- a/internal/sharedrate/limiter.go
+++ b/internal/sharedrate/limiter.go
@@ -10,48 +10,48 @@
 	"time"
 )
 
-// Rate is a rate that a node holds to, as it last heard of it.
+// Rate is a rate limit that this node keeps, as it last observed it.
 type Rate struct {
-	// Key names it.
+	// Key names the rate.
 	Key       string
 	PerSecond float64
-	// Heard is when it was last heard of.
+	// Heard is when this node last observed the limit.
 	Heard time.Time
 }
 
-// Denied says that no permit is to be had in time.
+// Denied is the error of a request that gets no permit in time.
 type Denied struct {
-	// Opens is when it serves to ask again.
+	// Opens is the earliest time at which to ask again.
 	Opens time.Time
-	// Ended says that the limit has ended, as another node heard at HeardAt.
+	// Ended reports that the limit has ended, which another node observed at HeardAt.
 	Ended   bool
 	HeardAt time.Time
-	// Owner is the node that was asked; "" for none, as nobody could be.
+	// Owner is the node that was asked; empty if none could be.
 	Owner string
 }
 
 // Error implements error.
 func (d *Denied) Error() string {
 	if d.Ended {
-		return "sharedrate: the limit has ended, by " + d.Owner
+		return "sharedrate: the limit has ended, reported by " + d.Owner
 	}
-	return fmt.Sprintf("sharedrate: no permit for %v, by %q", time.Until(d.Opens).Round(time.Millisecond), d.Owner)
+	return fmt.Sprintf("sharedrate: no permit for %v, granter %q", time.Until(d.Opens).Round(time.Millisecond), d.Owner)
 }
 
-// Config is what a Limiter is built from.
+// Config configures a Limiter.
 type Config struct {
-	// Self is this node.
 	Self Node
-	// Ask asks another node.
+	// Ask sends a permit request to the node at addr. Its error is ErrNotReady where this node
+	// cannot send yet.
 	Ask func(ctx context.Context, addr string, a Ask) (Grant, error)
 	Log *slog.Logger
 }
 
-// mostAsked is how many nodes are asked for one permit.
-const mostAsked = 2
+// maxGranters bounds the nodes that are asked for one permit.
+const maxGranters = 2
 
-// Limiter gives the requests of one node permits of rates that it shares with other nodes, and
-// grants those that it is asked for. It is safe for concurrent use.
+// Limiter gives the requests of one node permits of the rates that it shares with other nodes, and
+// answers permit requests of all nodes. It is safe for concurrent use.
 type Limiter struct {
 	cfg Config
 
@@ -60,7 +60,7 @@
 	queues map[string]*queue
 }
 
-// queue is the requests that wait for permits of a rate, by their turns.
+// queue holds the requests that wait for permits of one rate, ordered by their turns.
 type queue struct {
 	rate    Rate
 	waiting []*waiter
@@ -81,14 +81,15 @@
 	return &Limiter{cfg: cfg, broker: NewBroker(cfg.Self, nil, time.Now()), queues: make(map[string]*queue)}
 }
 
-// SetNodes takes in the other nodes. Until then there are no permits.
+// SetNodes replaces the set of other nodes. Before the first call there are no permits.
 func (l *Limiter) SetNodes(others []Node) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.broker.SetNodes(others, time.Now())
 }
 
-// Clear drops what is held: the host stood still, and its clock with it.
+// Clear drops all unused permits. It is called after the host was suspended, as its clock stood
+// still meanwhile.
 func (l *Limiter) Clear() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,11 +103,12 @@
 	return l.broker.Counts()
 }
 
-// Acquire waits for a permit of a rate that may be used by latest, and for the moment from which on
-// it may be. Of the requests of this node that wait, those with the earliest turn go first. It
-// fails with *Denied, at once where it is known that there is none, or with the error of ctx.
+// Acquire waits until it has a permit of the rate that is usable by latest, and until the permit
+// becomes usable. Among the waiting requests of this node, those with the earliest turn go first.
+// It fails with *Denied, at once where no permit is known to be available in time, or with the
+// error of ctx.
 func (l *Limiter) Acquire(ctx context.Context, rate Rate, turn, latest time.Time) (Permit, error) {
-	w, p, err := l.enter(rate, turn, latest)
+	w, p, err := l.takeOrEnqueue(rate, turn, latest)
 	if err != nil {
 		return Permit{}, err
 	}
@@ -115,7 +117,7 @@
 		case res := <-w.got:
 			p, err = res.permit, res.err
 		case <-ctx.Done():
-			l.leave(rate.Key, w)
+			l.cancel(rate.Key, w)
 			return Permit{}, ctx.Err()
 		}
 	}
@@ -125,7 +127,7 @@
 	return p, l.await(ctx, rate.Key, p)
 }
 
-// await waits until a permit may be used.
+// await waits until the permit becomes usable.
 func (l *Limiter) await(ctx context.Context, key string, p Permit) error {
 	wait := time.Until(p.From)
 	if wait <= 0 {
@@ -142,8 +144,8 @@
 	}
 }
 
-// enter takes a permit that is held, or begins to wait for one.
-func (l *Limiter) enter(rate Rate, turn, latest time.Time) (*waiter, Permit, error) {
+// takeOrEnqueue takes a cached permit, or adds the request to the queue of its rate.
+func (l *Limiter) takeOrEnqueue(rate Rate, turn, latest time.Time) (*waiter, Permit, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -173,8 +175,8 @@
 	return w, Permit{}, nil
 }
 
-// leave ends the wait of a request that was given up.
-func (l *Limiter) leave(key string, w *waiter) {
+// cancel ends the wait of a request whose caller gave up.
+func (l *Limiter) cancel(key string, w *waiter) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if q := l.queues[key]; q != nil {
@@ -188,30 +190,31 @@
 	}
 }
 
-// GiveBack returns a permit that was not used: another request of this node may use it.
+// GiveBack returns an unused permit, so that another request of this node may use it.
 func (l *Limiter) GiveBack(key string, p Permit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.broker.GiveBack(key, p, time.Now())
 }
 
-// serve asks for permits while requests wait for them.
+// serve requests permits until no request waits in the queue.
 func (l *Limiter) serve(key string, q *queue) {
 	for {
-		asked, ask := l.next(key, q)
+		asked, ask := l.nextRequest(key, q)
 		if len(asked) == 0 {
 			return
 		}
-		owner, grant, err := l.askOwner(ask)
+		owner, grant, err := l.askGranter(ask)
 		if err != nil {
-			l.cfg.Log.Info("no node grants permits", "key", key, "err", err)
+			l.cfg.Log.Info("permit request failed at all granters", "key", key, "err", err)
 		}
-		l.handOut(key, q, asked, owner, grant)
+		l.distribute(key, q, asked, owner, grant)
 	}
 }
 
-// next returns what to ask for, and for which requests; none ends the queue.
-func (l *Limiter) next(key string, q *queue) (asked []*waiter, ask Ask) {
+// nextRequest returns the permit request to send and the requests that it is for. If none wait, it
+// removes the queue.
+func (l *Limiter) nextRequest(key string, q *queue) (asked []*waiter, ask Ask) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(q.waiting) == 0 {
@@ -227,9 +230,9 @@
 	return slices.Clone(q.waiting), l.broker.Ask(q.rate, len(q.waiting), latest, time.Now())
 }
 
-// handOut gives the requests that wait the permits that are held, and denies those that were
-// asked for in vain.
-func (l *Limiter) handOut(key string, q *queue, asked []*waiter, owner string, grant *Grant) {
+// distribute gives the available permits to the waiting requests, and denies those requests that
+// the grant was for and that got none.
+func (l *Limiter) distribute(key string, q *queue, asked []*waiter, owner string, grant *Grant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -238,7 +241,7 @@
 	if grant != nil && grant.Ended {
 		denied.Ended, denied.HeardAt = true, now.Add(-grant.Heard)
 	}
-	var kept []*waiter
+	var remaining []*waiter
 	for _, w := range q.waiting {
 		p, ok := l.broker.Take(key, w.latest, now)
 		switch {
@@ -248,24 +251,24 @@
 			l.broker.counts.Denied++
 			w.got <- result{err: denied}
 		default:
-			kept = append(kept, w)
+			remaining = append(remaining, w)
 		}
 	}
-	q.waiting = kept
+	q.waiting = remaining
 }
 
-var errNobody = errors.New("sharedrate: no node to ask")
+var errNoGranter = errors.New("sharedrate: no node can be asked for permits")
 
-// askOwner asks the first node that answers; this node itself where it is the first. The grant is
-// nil without an answer.
-func (l *Limiter) askOwner(a Ask) (owner string, g *Grant, err error) {
-	for range mostAsked {
+// askGranter asks up to maxGranters nodes for permits, in their order, until one answers; if this
+// node is next, it grants itself. The grant is nil if no node answers.
+func (l *Limiter) askGranter(a Ask) (owner string, g *Grant, err error) {
+	for range maxGranters {
 		l.mu.Lock()
 		n, ok := l.broker.Whom(a.Key, time.Now())
 		l.mu.Unlock()
 		switch {
 		case !ok:
-			return "", nil, errNobody
+			return "", nil, errNoGranter
 		case n.Name == l.cfg.Self.Name:
 			own := l.Grant(a)
 			return n.Name, &own, nil
@@ -275,12 +278,12 @@
 			return n.Name, &answer, nil
 		}
 		err = askErr
-		l.cfg.Log.Info("node does not grant permits, passed over", "peer", n.Name, "addr", n.Addr, "key", a.Key, "err", err)
+		l.cfg.Log.Info("permit request failed, trying the next granter", "peer", n.Name, "addr", n.Addr, "key", a.Key, "err", err)
 	}
 	return "", nil, err
 }
 
-// askNode asks another node and notes whether it answered.
+// askNode asks another node and records whether it answered.
 func (l *Limiter) askNode(n Node, a Ask) (Grant, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 	defer cancel()
@@ -291,27 +294,29 @@
 	return g, err
 }
 
-// Grant answers an ask of another node, or of this one.
+// Grant answers a permit request of another node or of this one, and starts the checks of other
+// nodes that are due.
 func (l *Limiter) Grant(a Ask) Grant {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	g, look := l.broker.Grant(a, time.Now())
-	for _, n := range look {
+	g, toCheck := l.broker.Grant(a, time.Now())
+	for _, n := range toCheck {
 		go func() {
 			if _, err := l.askNode(n, Ask{}); err != nil {
-				l.cfg.Log.Debug("node before this one does not answer", "peer", n.Name, "err", err)
+				l.cfg.Log.Debug("check of another granter failed", "peer", n.Name, "err", err)
 			}
 		}()
 	}
 	return g
 }
 
-// Ended tells the granter of a rate that it was heard at a moment that there is no limit any more.
+// Ended reports to the granter of the rate, in the background, that this node observed the end of
+// the limit at heard, and drops this node's permits of the rate.
 func (l *Limiter) Ended(key string, heard time.Time) {
 	go func() {
-		if _, _, err := l.askOwner(Ask{Key: key, Asker: l.cfg.Self.Name, Ended: true, Heard: time.Since(heard)}); err != nil {
-			// Others hear it with an answer of their own.
-			l.cfg.Log.Debug("end of a limit not told", "key", key, "err", err)
+		if _, _, err := l.askGranter(Ask{Key: key, Asker: l.cfg.Self.Name, Ended: true, Heard: time.Since(heard)}); err != nil {
+			// The other nodes observe the end in answers of the target to their own requests.
+			l.cfg.Log.Debug("report of an ended limit failed", "key", key, "err", err)
 		}
 	}()
 	l.mu.Lock()
--- a/internal/sharedrate/owners.go
+++ b/internal/sharedrate/owners.go
@@ -8,63 +8,63 @@
 	"topazmoor/internal/routing"
 )
 
-// Node is a node that shares rates.
+// Node is a node that shares rates, with its address.
 type Node struct{ Name, Addr string }
 
-// settleTime is how long nodes may differ over who they are, and what a granter gave out before it
-// ended may still be used: until then its successor gives out less.
-const settleTime = 3 * time.Second
+// settlingTime is how long nodes may disagree about the set of nodes, and how long permits of an
+// ended granter may still be used. Its successor grants a smaller share meanwhile.
+const settlingTime = 3 * time.Second
 
-// Owners says which nodes grant a rate: those that come first in the order of rendezvous hashing.
-// It must not be used concurrently.
+// Owners determines which nodes grant a rate: the first ones in the order of rendezvous hashing. It
+// must not be used concurrently.
 type Owners struct {
 	self  string
-	nodes []hashed
-	// former are the nodes of before, with when they were replaced; only those of the last
-	// settleTime.
-	former []formerNodes
-	// began is when this process began.
-	began time.Time
+	nodes []hashedNode
+	// previous are the replaced sets of nodes of the last settlingTime, oldest first, with the time
+	// of replacement.
+	previous []previousNodes
+	// startedAt is when this process started.
+	startedAt time.Time
 }
 
-type hashed struct {
+type hashedNode struct {
 	Node
 	hash uint64
 }
 
-type formerNodes struct {
-	nodes []hashed
+type previousNodes struct {
+	nodes []hashedNode
 	until time.Time
 }
 
-// NewOwners returns the Owners of a process that begins now, which knows no other node yet.
+// NewOwners returns the Owners of a process that starts at now and knows no other node yet.
 func NewOwners(self Node, now time.Time) *Owners {
-	o := &Owners{self: self.Name, began: now}
-	o.nodes = []hashed{{self, xxhash.Sum64String(self.Name)}}
+	o := &Owners{self: self.Name, startedAt: now}
+	o.nodes = []hashedNode{{self, xxhash.Sum64String(self.Name)}}
 	return o
 }
 
-// Set takes in the other nodes.
+// Set replaces the set of other nodes.
 func (o *Owners) Set(others []Node, now time.Time) {
-	nodes := []hashed{}
+	nodes := []hashedNode{}
 	for _, n := range o.nodes {
 		if n.Name == o.self {
 			nodes = append(nodes, n)
 		}
 	}
 	for _, n := range others {
-		nodes = append(nodes, hashed{n, xxhash.Sum64String(n.Name)})
+		nodes = append(nodes, hashedNode{n, xxhash.Sum64String(n.Name)})
 	}
 	if sameNames(o.nodes, nodes) {
 		o.nodes = nodes
 		return
 	}
-	o.forget(now)
-	o.former = append(o.former, formerNodes{o.nodes, now})
+	o.dropExpired(now)
+	o.previous = append(o.previous, previousNodes{o.nodes, now})
 	o.nodes = nodes
 }
 
-func sameNames(a, b []hashed) bool {
+func sameNames(a, b []hashedNode) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -80,22 +80,23 @@
 	return true
 }
 
-func (o *Owners) forget(now time.Time) {
-	for len(o.former) > 0 && now.Sub(o.former[0].until) >= settleTime {
-		o.former = o.former[1:]
+func (o *Owners) dropExpired(now time.Time) {
+	for len(o.previous) > 0 && now.Sub(o.previous[0].until) >= settlingTime {
+		o.previous = o.previous[1:]
 	}
 }
 
-// Count returns how many nodes there are, this one included.
+// Count returns the number of nodes, this one included.
 func (o *Owners) Count() int { return len(o.nodes) }
 
-// First returns the node to ask for a rate: the first one that is not passed over.
+// First returns the node to ask for permits of the rate: the first in the order that passOver does
+// not exclude.
 func (o *Owners) First(key string, passOver func(name string) bool) (Node, bool) {
 	n, ok := first(o.nodes, key, passOver)
 	return n.Node, ok
 }
 
-func first(nodes []hashed, key string, passOver func(name string) bool) (best hashed, ok bool) {
+func first(nodes []hashedNode, key string, passOver func(name string) bool) (best hashedNode, ok bool) {
 	k, most := xxhash.Sum64String(key), uint64(0)
 	for _, n := range nodes {
 		if passOver != nil && passOver(n.Name) {
@@ -108,8 +109,9 @@
 	return best, ok
 }
 
-// Place returns this node's place among the granters of a rate, from 0 on, and the nodes before
-// it. Those that are gone do not count.
+// Place returns this node's place among the granters of the rate, starting at 0, and all nodes
+// before it in the order. Nodes for which gone is true are among them, but do not count for the
+// place.
 func (o *Owners) Place(key string, gone func(name string) bool) (place int, before []Node) {
 	k := xxhash.Sum64String(key)
 	own := uint64(0)
@@ -130,14 +132,14 @@
 	return place, before
 }
 
-// Settling reports whether another node, or a former process of this one, may have been the first
-// granter of a rate until less than settleTime ago.
+// Settling reports whether another node, or an earlier process of this one, may have been the first
+// granter of the rate less than settlingTime ago.
 func (o *Owners) Settling(key string, now time.Time) bool {
-	if now.Sub(o.began) < settleTime {
+	if now.Sub(o.startedAt) < settlingTime {
 		return true
 	}
-	o.forget(now)
-	for _, f := range o.former {
+	o.dropExpired(now)
+	for _, f := range o.previous {
 		if n, _ := first(f.nodes, key, nil); n.Name != o.self {
 			return true
 		}
--- a/internal/sharedrate/reach.go
+++ b/internal/sharedrate/reach.go
@@ -6,99 +6,101 @@
 )
 
 const (
-	// reachEvery is how often a node that grants looks whether another one answers, each in turn;
-	// one that grants in the place of others looks each reachSoon, to know before it is the first.
-	reachEvery = 333 * time.Millisecond
-	reachSoon  = 125 * time.Millisecond
-	// mostLooks are remembered, for reachLife at the most: a node that grants now and then must
-	// know as well. fewestLooks is how many it takes to tell.
-	mostLooks   = 12
-	reachLife   = 12 * time.Second
-	fewestLooks = 4
-	// leastReach is the part of the nodes that a granter reaches which gives out a whole rate.
-	// Of two parts that do not hear each other one may do so, and the other has less than the
-	// rest: together they give out less than one and a half times the rate. Where there are more
-	// nodes than mostLooks, chance has its part too.
-	leastReach      = 0.6
-	leastReachOfAll = 0.7
+	// checkInterval is how often a granter checks whether another node answers, each node in turn.
+	// A node that grants in the place of others checks every fastCheckInterval, to know the
+	// fraction that it reaches before it becomes the first granter.
+	checkInterval     = 333 * time.Millisecond
+	fastCheckInterval = 125 * time.Millisecond
+	// maxChecks bounds the results that are kept, checkTTL their age: long enough that a node that
+	// grants only now and then still has an estimate. An estimate needs at least minChecks results.
+	maxChecks = 12
+	checkTTL  = 12 * time.Second
+	minChecks = 4
+	// fullShareReach is the fraction of the nodes that a granter must reach to give out a whole
+	// rate. Of two partitions at most one reaches it, and the other then reaches and grants less
+	// than the rest: together they grant less than one and a half times the rate. With more than
+	// maxChecks nodes the fraction is estimated from a sample, and fullShareReachSampled applies.
+	fullShareReach        = 0.6
+	fullShareReachSampled = 0.7
 )
 
-// least returns the part of so many nodes that a granter of a whole rate reaches.
-func least(nodes int) float64 {
-	if nodes > mostLooks {
-		return leastReachOfAll
+// minFullReach returns the fraction of the nodes that a granter of a whole rate must reach.
+func minFullReach(nodes int) float64 {
+	if nodes > maxChecks {
+		return fullShareReachSampled
 	}
-	return leastReach
+	return fullShareReach
 }
 
-// reach estimates which part of the other nodes a node reaches. The zero value has not looked.
-type reach struct {
-	looks []reachLook
-	// next is the place of the node that is looked at next.
-	next int
-	at   time.Time
+// reachability estimates the fraction of the nodes that this node reaches. The zero value has no
+// results.
+type reachability struct {
+	checks []reachCheck
+	// nextIndex is the index of the node that was checked last, at the time at.
+	nextIndex int
+	at        time.Time
 }
 
-// reachLook is one look at a node.
-type reachLook struct {
+// reachCheck is one check of a node; done is set once its outcome is known.
+type reachCheck struct {
 	name     string
 	at       time.Time
 	answered bool
-	ended    bool
+	done     bool
 }
 
-// look returns the nodes to look at: one where the last one was looked at so long ago, several where
-// too few were to tell.
-func (r *reach) look(nodes []hashed, self string, every time.Duration, now time.Time) []Node {
+// toCheck returns the nodes to check now: none within the interval every, then one, or as many as an
+// estimate lacks.
+func (r *reachability) toCheck(nodes []hashedNode, self string, every time.Duration, now time.Time) []Node {
 	if len(nodes) < 2 || now.Sub(r.at) < every {
 		return nil
 	}
 	r.at = now
-	r.looks = slices.DeleteFunc(r.looks, func(l reachLook) bool { return now.Sub(l.at) > reachLife })
+	r.checks = slices.DeleteFunc(r.checks, func(l reachCheck) bool { return now.Sub(l.at) > checkTTL })
 	var out []Node
-	for range max(fewestLooks-len(r.looks), 1) {
-		n := r.following(nodes, self)
-		r.looks = append(r.looks, reachLook{name: n.Name, at: now})
+	for range max(minChecks-len(r.checks), 1) {
+		n := r.nextNode(nodes, self)
+		r.checks = append(r.checks, reachCheck{name: n.Name, at: now})
 		out = append(out, n)
 	}
-	r.looks = r.looks[max(len(r.looks)-mostLooks, 0):]
+	r.checks = r.checks[max(len(r.checks)-maxChecks, 0):]
 	return out
 }
 
-// following returns the node whose turn it is.
-func (r *reach) following(nodes []hashed, self string) Node {
-	r.next++
-	if nodes[r.next%len(nodes)].Name == self {
-		r.next++
+// nextNode returns the next node in turn, without this one.
+func (r *reachability) nextNode(nodes []hashedNode, self string) Node {
+	r.nextIndex++
+	if nodes[r.nextIndex%len(nodes)].Name == self {
+		r.nextIndex++
 	}
-	return nodes[r.next%len(nodes)].Node
+	return nodes[r.nextIndex%len(nodes)].Node
 }
 
-// answered notes whether a node answered.
-func (r *reach) answered(name string, ok bool) {
-	for i := range r.looks {
-		if l := &r.looks[i]; l.name == name && !l.ended {
-			l.ended, l.answered = true, ok
+// answered records the outcome of the oldest open check of a node.
+func (r *reachability) answered(name string, ok bool) {
+	for i := range r.checks {
+		if l := &r.checks[i]; l.name == name && !l.done {
+			l.done, l.answered = true, ok
 			return
 		}
 	}
 }
 
-// part returns which part of so many nodes this one reaches, itself included; known is false before
-// enough were looked at.
-func (r *reach) part(nodes int, now time.Time) (part float64, known bool) {
-	looks, answered := 0, 0
-	for _, l := range r.looks {
-		if !l.ended || now.Sub(l.at) > reachLife {
+// fraction returns the estimated fraction of the nodes that this one reaches, itself included;
+// known is false before minChecks results.
+func (r *reachability) fraction(nodes int, now time.Time) (fraction float64, known bool) {
+	checks, answered := 0, 0
+	for _, l := range r.checks {
+		if !l.done || now.Sub(l.at) > checkTTL {
 			continue
 		}
-		looks++
+		checks++
 		if l.answered {
 			answered++
 		}
 	}
-	if looks < fewestLooks || nodes < 2 {
+	if checks < minChecks || nodes < 2 {
 		return 1, false
 	}
-	return (float64(answered)/float64(looks)*float64(nodes-1) + 1) / float64(nodes), true
+	return (float64(answered)/float64(checks)*float64(nodes-1) + 1) / float64(nodes), true
 }
--- a/internal/sharedrate/word.go
+++ b/internal/sharedrate/word.go
@@ -1,84 +1,88 @@
-// Package sharedrate keeps rates that all nodes hold to together: what a target says of the
-// rate that it takes, who may send how much of it, and when.
+// Package sharedrate enforces rate limits that all nodes share: it tracks the limit that a target
+// advertises in its answers, and divides it among the nodes by permits, each of which allows one
+// request in a short period.
 package sharedrate
 
 import "time"
 
-// Word is what one answer says of the rate of requests that its target takes from all nodes
-// together. The zero value says nothing.
+// Word is the limit that one answer of a target advertises: the rate of requests that the target
+// takes from all nodes together. The zero value carries no information.
 type Word struct {
 	Kind Kind
-	// PerSecond is the rate of a Limited word, in requests a second.
+	// PerSecond is the rate of a Limited word, in requests per second.
 	PerSecond float64
 }
 
 // Kind is the kind of a Word.
 type Kind uint8
 
-// The kinds of words.
+// The kinds of a Word.
 const (
-	// Nothing can be read from the answer.
+	// Nothing: the answer carries no information about the limit.
 	Nothing Kind = iota
-	// Unlimited: the answer names no limit.
+	// Unlimited: the answer advertises no limit.
 	Unlimited
-	// Limited: the answer names one.
+	// Limited: the answer advertises a limit.
 	Limited
 )
 
-// Belief is what a node believes of the limit of one process, by the answers that it got. The
-// zero value is no limit. It must not be used concurrently.
+// Belief is a node's estimate of the limit of one target process, from the answers that the node
+// received. The zero value means no limit. It must not be used concurrently.
 type Belief struct {
 	limited   bool
 	perSecond float64
-	// since is when the process first named a limit, heard when it last confirmed this one.
-	since, heard time.Time
+	// limitedSince is when the process first advertised a limit, confirmedAt when it last
+	// advertised the current one.
+	limitedSince, confirmedAt time.Time
 }
 
-// Hear takes in the word of an answer that came now to a call that began at a moment, and
-// reports whether the belief changed.
+// Hear updates the estimate by the limit in an answer that was received at now to a call that began
+// at began. It reports whether the estimate changed.
 //
-// Answers overtake each other. A lower rate is believed at once; a higher one, or none, only of
-// an answer to a call that began after the limit was last heard of: any other may have been
-// given before.
+// Answers may arrive out of order. A lower rate applies at once. A higher rate, or none, applies
+// only if the call began after the limit was last confirmed: any other answer may have been sent
+// before.
 func (b *Belief) Hear(w Word, began, now time.Time) (changed bool) {
 	switch {
 	case w.Kind == Nothing:
 		return false
 	case w.Kind == Limited && !b.limited:
-		*b = Belief{limited: true, perSecond: w.PerSecond, since: now, heard: now}
+		*b = Belief{limited: true, perSecond: w.PerSecond, limitedSince: now, confirmedAt: now}
 		return true
 	case w.Kind == Limited && w.PerSecond <= b.perSecond:
 		changed = w.PerSecond < b.perSecond
-		b.perSecond, b.heard = w.PerSecond, now
+		b.perSecond, b.confirmedAt = w.PerSecond, now
 		return changed
-	case !b.limited || !began.After(b.heard):
+	case !b.limited || !began.After(b.confirmedAt):
 		return false
 	case w.Kind == Limited:
-		b.perSecond, b.heard = w.PerSecond, now
+		b.perSecond, b.confirmedAt = w.PerSecond, now
 		return true
 	}
 	*b = Belief{}
 	return true
 }
 
-// Limit returns the rate that is believed, in requests a second; limited is false for none.
+// Limit returns the estimated limit in requests per second; limited is false for none.
 func (b *Belief) Limit() (perSecond float64, limited bool) { return b.perSecond, b.limited }
 
 // Heard returns when the limit was last confirmed.
-func (b *Belief) Heard() time.Time { return b.heard }
+func (b *Belief) Heard() time.Time { return b.confirmedAt }
 
-// EndedAt takes in that another node heard at a moment that there is no limit any more, and
-// reports whether the belief changed. Clocks of nodes differ by what a message takes.
+// EndedAt applies the report of another node that it observed the end of the limit at the time at,
+// and reports whether the estimate changed. The report counts only if it is at least
+// maxMessageDelay newer than the last confirmation, as its time may be off by the delay of a
+// message.
 func (b *Belief) EndedAt(at time.Time) (changed bool) {
-	if !b.limited || at.Sub(b.heard) < messageTime {
+	if !b.limited || at.Sub(b.confirmedAt) < maxMessageDelay {
 		return false
 	}
 	*b = Belief{}
 	return true
 }
 
-// messageTime is more than a message between nodes takes.
-const messageTime = 250 * time.Millisecond
+// maxMessageDelay is an upper bound for the delay of a message between nodes.
+const maxMessageDelay = 250 * time.Millisecond
 
-// Since returns when the process first named a limit, of those without a pause.
-func (b *Belief) Since() time.Time { return b.since }
+// Since returns when the process first advertised a limit, since it last had none.
+func (b *Belief) Since() time.Time { return b.limitedSince }
--- a/internal/sharedrate/word_test.go
+++ b/internal/sharedrate/word_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Answers overtake each other: one that may have been given before the limit was named neither
-// ends nor raises it.
+// Answers may arrive out of order: an answer that may have been sent before the limit was
+// advertised neither ends nor raises the limit.
 func TestLateAnswersDoNotEndALimit(t *testing.T) {
 	c := qt.New(t)
 	at := func(s float64) time.Time { return time.Unix(1000, 0).Add(time.Duration(s * float64(time.Second))) }
