--- a/internal/poison/digest.go
+++ b/internal/poison/digest.go
@@ -1,8 +1,9 @@
-// Package poison keeps requests that crash targets away from them. A request that crashes
-// each target that begins to run it (a poison request, or query of death) does so again
-// whenever it is sent: by the node that repeats it, by the caller that comes back, at any
-// other node. So what counts are the ends under a request at all nodes together, not the
-// attempts of one caller.
+// Package poison keeps requests that crash targets away from them. A request that crashes each
+// target that starts to run it (a poison request, or query of death) does so again whenever it is
+// sent: by a node that retries it, by a caller that repeats it, and at any other node. Therefore
+// the nodes count the targets that ended under a request at all nodes together, not the attempts of
+// one caller. A target ends under a request if its process stops accepting connections while the
+// request runs there.
 package poison
 
 import (
@@ -13,12 +14,12 @@
 	"github.com/rotisserie/eris"
 )
 
-// Digest names a request by what its targets are given: who asks, and with which message.
-// Two attempts of a caller have the same one, the requests of two client accounts never do.
+// Digest identifies a request by its client account and its message. Attempts of one caller with
+// the same message have the same digest; requests of two client accounts never do.
 type Digest [digestBytes]byte
 
-// digestBytes is enough that no two requests ever meet by chance: 2^48 requests have a
-// chance of 2^-33 of one collision.
+// digestBytes makes collisions improbable: among 2^48 requests there is one with a probability of
+// 2^-33.
 const digestBytes = 16
 
 // DigestOf returns the digest of a request of a client account.
@@ -26,7 +27,7 @@
 	h := sha256.New()
 	var size [8]byte
 	for _, part := range [][]byte{[]byte(account), []byte(method), []byte(host), []byte(uri), body} {
-		// Lengths keep the parts apart.
+		// The length prefix keeps adjacent parts apart.
 		binary.BigEndian.PutUint64(size[:], uint64(len(part)))
 		_, _ = h.Write(size[:])
 		_, _ = h.Write(part)
@@ -37,10 +38,10 @@
 // String implements fmt.Stringer.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// MarshalText implements encoding.TextMarshaler, for logs and rows.
+// MarshalText implements encoding.TextMarshaler. It is used in logs and rows.
 func (d Digest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// ParseDigest reads what String wrote.
+// ParseDigest parses the result of Digest.String.
 func ParseDigest(s string) (Digest, error) {
 	var d Digest
 	b, err := hex.DecodeString(s)
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -16,25 +16,28 @@
 )
 
 const (
-	// reportWait is the longest that a request waits until an end under it is known to all
-	// nodes before it is sent again: a commit takes 5 ms, two where another node was first.
+	// reportWait bounds how long a request waits, before it is sent again, until an end under it is
+	// written to the store. A commit takes 5 ms, two commits are needed where another node wrote
+	// first.
 	reportWait = 80 * time.Millisecond
-	// ownRecords bounds what a node remembers by itself, at about 200 bytes each.
-	ownRecords = 4096
-	// answeredRecords bounds the answered requests that a node remembers, at about 100 bytes
-	// each: a minute and more of a node's requests.
-	answeredRecords = 8192
-	// retryProbing is when a caller may come back to a request of which a probe runs.
-	retryProbing = time.Second
-	// retryWithoutStore is when a caller may come back where no probe could be claimed.
+	// maxLocalRecords bounds the requests whose ends this node keeps in memory, at about 200 bytes
+	// each.
+	maxLocalRecords = 4096
+	// maxAnswered bounds the answered requests that a node keeps in memory, at about 100 bytes
+	// each: the requests of a node in a minute or more.
+	maxAnswered = 8192
+	// retryDuringProbe is when a caller may retry a request that is being probed.
+	retryDuringProbe = time.Second
+	// retryWithoutStore is when a caller may retry a request whose probe could not be claimed in
+	// the store.
 	retryWithoutStore = 2 * time.Second
 )
 
 // Refused is the error of a request that must not be sent.
 type Refused struct {
-	// Ends is how many targets are known to have ended under it.
+	// Ends is the number of targets that are known to have ended under the request.
 	Ends int
-	// After is when it may be let through again; 0 for unknown.
+	// After is when the request may be admitted again; 0 if unknown.
 	After time.Duration
 }
 
@@ -43,70 +46,75 @@
 	return fmt.Sprintf("poison: %d targets ended under the request", e.Ends)
 }
 
-// Config is what a Guard is built from.
+// Config configures a Guard.
 type Config struct {
 	// Node is the name of this node.
 	Node  string
 	Store store.Tables
-	// Dial opens a connection to a target, to learn whether its process still runs.
+	// Dial opens a connection to a target, to check whether its process still runs.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// Others lists the addresses of the other nodes, Tell tells one of them of ends that the
-	// store did not take; nil for not.
+	// Others returns the addresses of the other nodes. Tell sends ends that could not be written to
+	// the store to one of them; nil disables this.
 	Others func() []string
 	Tell   func(ctx context.Context, addr string, ends []End) error
-	// Gone is told of a process that has ended; nil for nobody.
+	// Gone, if set, is called with each process that has ended.
 	Gone func(process string)
-	// Nodes returns how many nodes share the work of removing old rows.
+	// Nodes returns the number of nodes, which share the removal of old rows.
 	Nodes func() int
 	Log   *slog.Logger
 }
 
-// Guard keeps requests that crash targets away from them, with the other nodes: an end under
-// a request is written to the store before the request is sent again, and whoever has a
-// quarantined request must claim a probe there. It is safe for concurrent use. It implements
-// suture.Service.
+// Guard keeps requests that crash targets away from them, together with the Guards of the other
+// nodes. An end under a request is written to the store before the request is sent again. A node
+// that sends a quarantined request must first claim a probe in the store. It is safe for concurrent
+// use. It implements suture.Service.
 type Guard struct {
-	cfg   Config
-	gone  gone
-	queue queue
-	stats stats
+	cfg         Config
+	endDetector endDetector
+	queue       queue
+	stats       stats
 
 	mu sync.Mutex
-	// fleet are the quarantined requests as the store has them.
-	fleet map[Digest]seen
-	// own are the ends that this node saw, whether the store has them or not.
-	own *simplelru.LRU[Digest, ownRecord]
-	// answered are requests that targets lately answered here: the next end under one of them
-	// has another cause. It names the process that has ended since; "" for none.
+	// stored holds the quarantined requests as last read from the store.
+	stored map[Digest]storedRecord
+	// local holds the ends that this node observed or received from others, whether they are
+	// written to the store or not.
+	local *simplelru.LRU[Digest, localRecord]
+	// answered holds the requests that targets recently answered at this node: one end under such a
+	// request has another cause and is not counted. The value is the process of that end; empty if
+	// there was none.
 	answered *simplelru.LRU[Digest, string]
 }
 
-// seen is a record of the store and since when this node has had it.
-type seen struct {
+// storedRecord is a record of the store, and since when this node has had this version.
+type storedRecord struct {
 	Record
 	version store.Version
 	since   time.Time
 }
 
-// ownRecord is what a node knows of a request by itself.
-type ownRecord struct {
+// localRecord is the information of this node alone on a request.
+type localRecord struct {
 	Record
-	// since is when the node last learned something of it, or asked the store in vain.
+	// since is when the node last learned of an end, or failed to reach the store for a claim.
 	since time.Time
 }
 
-// knowledge is what a node goes by.
-type knowledge struct {
+// recordView is the record by which a node decides: the store's merged with its own.
+type recordView struct {
 	Record
-	// unchanged is for how long it has been as it is.
+	// unchanged is how long the record has been the same.
 	unchanged time.Duration
-	// listed says that the store's list of quarantined requests has it, as this node read it.
+	// listed reports that the store's list of quarantined requests, as last read, contains the
+	// request.
 	listed bool
 }
 
-// decide says what may be done with the request. Where the list does not have it, another node may
-// have seen it answered before this one could read of it: the store is asked again soon.
-func (k knowledge) decide() (d Decision, after time.Duration) {
+// decide returns what may be done with the request. If only this node's own ends put it in
+// quarantine, another node may have seen it answered before this node read the quarantine from the
+// store: then the node tries to claim a probe, which reads the store, but after a local probe not
+// before retryWithoutStore has passed.
+func (k recordView) decide() (d Decision, after time.Duration) {
 	if k.listed || !k.Quarantined() {
 		return k.Record.Decide(k.unchanged)
 	}
@@ -116,11 +124,11 @@
 	return MayProbe, 0
 }
 
-// New returns a Guard that knows of nothing.
+// New returns a Guard without any records.
 func New(cfg Config) *Guard {
 	return &Guard{
-		cfg: cfg, gone: newGone(cfg.Dial), queue: newQueue(), fleet: make(map[Digest]seen),
-		own: newLRU[ownRecord](ownRecords), answered: newLRU[string](answeredRecords),
+		cfg: cfg, endDetector: newEndDetector(cfg.Dial), queue: newQueue(), stored: make(map[Digest]storedRecord),
+		local: newLRU[localRecord](maxLocalRecords), answered: newLRU[string](maxAnswered),
 	}
 }
 
@@ -132,42 +140,42 @@
 	return l
 }
 
-// Apply takes in what is in force of the table of quarantined requests.
+// Apply replaces the quarantined requests with the rows in force of QuarantineTable.
 func (g *Guard) Apply(v watch.View, _ restore.Result) {
 	now := time.Now()
-	next := make(map[Digest]seen, len(v.Rows))
+	next := make(map[Digest]storedRecord, len(v.Rows))
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for key, row := range v.Rows {
 		d, err := ParseDigest(key)
 		if err != nil {
-			g.cfg.Log.Error("row of a quarantined request left out", "err", err)
+			g.cfg.Log.Error("invalid quarantine row skipped", "err", err)
 			continue
 		}
 		r, err := decodeRecord(row.Value)
 		if err != nil {
-			g.cfg.Log.Error("row of a quarantined request left out", "digest", d, "err", err)
+			g.cfg.Log.Error("invalid quarantine row skipped", "digest", d, "err", err)
 			continue
 		}
-		old, ok := g.fleet[d]
+		old, ok := g.stored[d]
 		if ok && old.version == row.Version {
 			next[d] = old
 			continue
 		}
-		next[d] = seen{Record: r, version: row.Version, since: now}
+		next[d] = storedRecord{Record: r, version: row.Version, since: now}
 	}
-	for d := range g.fleet {
+	for d := range g.stored {
 		if _, ok := next[d]; !ok {
-			// Another node saw it answered, or an operator lifted it.
-			g.own.Remove(d)
+			// Another node saw it answered, or an operator lifted the quarantine.
+			g.local.Remove(d)
 			g.cfg.Log.Info("quarantine of a request ended", "digest", d)
 		}
 	}
-	g.fleet = next
+	g.stored = next
 }
 
-// Mend writes again what a store that came back from a copy has lost: records of requests in
-// quarantine, and that others were answered.
+// Mend writes again what a store that was restored from a copy has lost: records of quarantined
+// requests, and the removal of records of requests that were answered.
 func (g *Guard) Mend(kept restore.Result) {
 	for _, key := range kept.Undone {
 		if d, err := ParseDigest(key); err == nil {
@@ -180,46 +188,46 @@
 			continue
 		}
 		g.mu.Lock()
-		f, ok := g.fleet[d]
+		f, ok := g.stored[d]
 		g.mu.Unlock()
 		if ok {
-			g.queue.push(op{kind: opKept, digest: d, record: f.Record})
+			g.queue.push(op{kind: opRestore, digest: d, record: f.Record})
 		}
 	}
-	g.cfg.Log.Info("quarantines written again that the store had lost", "lost", len(kept.Lost), "undone", len(kept.Undone))
+	g.cfg.Log.Info("rewriting quarantines that the store lost", "lost", len(kept.Lost), "undone", len(kept.Undone))
 }
 
-// known returns what this node knows of a request.
-func (g *Guard) known(d Digest) knowledge {
+// lookup returns the record of a request as this node knows it.
+func (g *Guard) lookup(d Digest) recordView {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	f, listed := g.fleet[d]
-	own, _ := g.own.Get(d)
-	k := knowledge{listed: listed, unchanged: time.Since(own.since)}
+	f, listed := g.stored[d]
+	local, _ := g.local.Get(d)
+	k := recordView{listed: listed, unchanged: time.Since(local.since)}
 	if listed {
 		k.Record, k.unchanged = f.Record, time.Since(f.since)
 	}
-	for _, process := range own.Ended {
+	for _, process := range local.Ended {
 		k.Record = k.withEnd(process, "")
 	}
-	k.Probes = max(k.Probes, own.Probes)
+	k.Probes = max(k.Probes, local.Probes)
 	return k
 }
 
-// Suspect reports whether a target is known to have ended under a request.
+// Suspect reports whether a target is known to have ended under the request.
 func (g *Guard) Suspect(d Digest) bool {
-	return len(g.known(d).Ended) > 0
+	return len(g.lookup(d).Ended) > 0
 }
 
-// Quarantined reports whether a request is known to be let through by probes only.
+// Quarantined reports whether the request is known to be in quarantine, where only probes are sent.
 func (g *Guard) Quarantined(d Digest) bool {
-	return g.known(d).Quarantined()
+	return g.lookup(d).Quarantined()
 }
 
-// Admit reports whether a request that has just come may be worked on, by what is known here.
-// Its error is *Refused.
+// Admit reports whether a request that has just arrived may be processed, as far as this node
+// knows. Its error is *Refused.
 func (g *Guard) Admit(d Digest) error {
-	k := g.known(d)
+	k := g.lookup(d)
 	decision, after := k.decide()
 	if decision != Refuse {
 		return nil
@@ -230,16 +238,16 @@
 func (g *Guard) refuse(r Record, after time.Duration) error {
 	g.stats.refused.Add(1)
 	if r.Probe != "" {
-		after = min(after, retryProbing)
+		after = min(after, retryDuringProbe)
 	}
 	return &Refused{Ends: len(r.Ended), After: after}
 }
 
-// Send asks whether a request may be sent now, and run for a time. In quarantine it claims the
-// probe, whose name it returns: the request must then be sent alone, and its end told to Ended,
-// Answered or Abandoned. Its error is *Refused.
+// Send decides whether the request may be sent now; lasts is how long it may run. For a quarantined
+// request it claims the probe and returns its name: the request must then be sent alone, and its
+// outcome reported to Ended, Answered or Abandoned. Its error is *Refused.
 func (g *Guard) Send(ctx context.Context, d Digest, lasts time.Duration) (probe string, err error) {
-	k := g.known(d)
+	k := g.lookup(d)
 	decision, after := k.decide()
 	switch decision {
 	case Pass:
@@ -253,7 +261,7 @@
 		return "", err
 	}
 	if probe == "" {
-		// It was answered meanwhile.
+		// The request was answered in the meantime.
 		return "", nil
 	}
 	g.stats.probes.Add(1)
@@ -261,26 +269,27 @@
 	return probe, nil
 }
 
-// Run is a run of a request at a target.
+// Run is one run of a request at a target.
 type Run struct {
 	Digest Digest
 	// Began is when the run began.
 	Began time.Time
-	// Process names the start of the target's process, Addr is where it takes calls.
+	// Process identifies one start of the target's process, Addr is the address where it accepts
+	// calls.
 	Process, Addr string
-	// Probe names the probe that the run belongs to; "" for none. GoesOn says that the probe has
-	// more runs to come unless this one ended its target: it is not given up.
+	// Probe names the probe that the run belongs to; empty if none. GoesOn reports that the probe
+	// has further runs unless this one ended its target, so that the probe is not given up.
 	Probe  string
 	GoesOn bool
 }
 
-// Ended tells that a run broke off at its target. If the target's process has ended, all nodes
-// learn of it. The channel tells whether it has, once they can know, or after reportWait: the
-// request should not be sent again before.
+// Ended reports that a run broke off at its target. It checks whether the target's process has
+// ended, and if so writes the end to the store. The channel delivers whether the process has ended,
+// once the end is written or reportWait has passed: the request should not be sent again earlier.
 func (g *Guard) Ended(r Run) <-chan bool {
 	known := make(chan bool, 1)
 	if r.Digest == (Digest{}) {
-		// An order of a node that tells no digest.
+		// The node that sent the request gave no digest.
 		known <- false
 		return known
 	}
@@ -288,9 +297,9 @@
 	return known
 }
 
-// ended finds out whether a run ended its target, and makes it known.
+// ended checks whether the target of a run has ended, and writes the end to the store.
 func (g *Guard) ended(r Run) bool {
-	if !g.gone.endedUnder(r.Process, r.Addr, r.Began) {
+	if !g.endDetector.endedUnder(r.Process, r.Addr, r.Began) {
 		if !r.GoesOn {
 			g.Abandoned(r.Digest, r.Probe)
 		}
@@ -299,7 +308,7 @@
 	if g.cfg.Gone != nil {
 		g.cfg.Gone(r.Process)
 	}
-	if !g.noteOwn(r) {
+	if !g.recordLocal(r) {
 		return true
 	}
 	written := g.queue.push(op{kind: opEnd, digest: r.Digest, process: r.Process, probe: r.Probe})
@@ -312,69 +321,70 @@
 	return true
 }
 
-// noteOwn remembers an end under a request of this node, and reports whether it counts: the
-// same message may come all the time, and where a target has just answered it, its end has
+// recordLocal records an end that this node observed, and reports whether it counts. Clients may
+// send one message again and again: if a target has just answered it, the next end under it has
 // another cause.
-func (g *Guard) noteOwn(r Run) bool {
+func (g *Guard) recordLocal(r Run) bool {
 	g.stats.ends.Add(1)
 	g.mu.Lock()
-	spared, ok := g.answered.Get(r.Digest)
-	if ok && r.Probe == "" && (spared == "" || spared == r.Process) {
+	lastEnded, ok := g.answered.Get(r.Digest)
+	if ok && r.Probe == "" && (lastEnded == "" || lastEnded == r.Process) {
 		g.answered.Add(r.Digest, r.Process)
 		g.mu.Unlock()
-		g.cfg.Log.Info("target ended under a request that was just answered elsewhere", "digest", r.Digest, "process", r.Process, "addr", r.Addr)
+		g.cfg.Log.Info("target ended under a recently answered request, end not counted", "digest", r.Digest, "process", r.Process, "addr", r.Addr)
 		return false
 	}
 	g.answered.Remove(r.Digest)
-	own := g.learn(r.Digest, r.Process, "")
+	local := g.addLocalEnd(r.Digest, r.Process, "")
 	g.mu.Unlock()
-	g.cfg.Log.Info("target ended under the request", "digest", r.Digest, "process", r.Process, "addr", r.Addr, "own_ends", len(own.Ended), "probe", r.Probe)
+	g.cfg.Log.Info("target ended under the request", "digest", r.Digest, "process", r.Process, "addr", r.Addr, "own_ends", len(local.Ended), "probe", r.Probe)
 	return true
 }
 
-// learn adds an end to what this node knows by itself. The lock is held.
-func (g *Guard) learn(d Digest, process, probe string) ownRecord {
-	own, _ := g.own.Get(d)
-	own.Record, own.since = own.withEnd(process, probe), time.Now()
-	g.own.Add(d, own)
-	return own
+// addLocalEnd adds an end to this node's own record of the request. The caller holds g.mu.
+func (g *Guard) addLocalEnd(d Digest, process, probe string) localRecord {
+	local, _ := g.local.Get(d)
+	local.Record, local.since = local.withEnd(process, probe), time.Now()
+	g.local.Add(d, local)
+	return local
 }
 
-// Answered tells that a target answered a request: it does not crash targets.
+// Answered reports that a target answered the request, which shows that it does not crash targets.
 func (g *Guard) Answered(d Digest) {
 	g.mu.Lock()
-	_, quarantined := g.fleet[d]
-	own := g.own.Remove(d)
+	_, quarantined := g.stored[d]
+	local := g.local.Remove(d)
 	g.answered.Add(d, "")
 	g.mu.Unlock()
-	if quarantined || own {
+	if quarantined || local {
 		g.queue.push(op{kind: opAnswered, digest: d})
 	}
 }
 
-// Abandoned tells that a send ended without an answer though its target lives on, or before
-// the target had begun to run it: a probe that says nothing is not counted.
+// Abandoned reports that a run ended without an answer while its target still runs, or before the
+// target started to run it. If the run was a probe, the probe is not counted, as it is
+// inconclusive.
 func (g *Guard) Abandoned(d Digest, probe string) {
 	if probe == "" {
 		return
 	}
 	g.mu.Lock()
-	alone := g.giveBack(d, probe)
+	released := g.releaseLocalProbe(d, probe)
 	g.mu.Unlock()
-	if !alone {
+	if !released {
 		g.queue.push(op{kind: opAbandoned, digest: d, probe: probe})
 	}
 }
 
-// giveBack takes back a probe that this node allowed by itself, and reports whether it was one. The
-// lock is held.
-func (g *Guard) giveBack(d Digest, probe string) bool {
-	own, ok := g.own.Get(d)
-	if !ok || own.Probe != probe {
+// releaseLocalProbe releases a probe that this node claimed without the store, and reports whether
+// the probe was one. The caller holds g.mu.
+func (g *Guard) releaseLocalProbe(d Digest, probe string) bool {
+	local, ok := g.local.Get(d)
+	if !ok || local.Probe != probe {
 		return false
 	}
-	own.Probe = ""
-	own.Probes--
-	g.own.Add(d, own)
+	local.Probe = ""
+	local.Probes--
+	g.local.Add(d, local)
 	return true
 }
--- a/internal/poison/guard_test.go
+++ b/internal/poison/guard_test.go
@@ -23,7 +23,7 @@
 // probeLasts is how long requests of the tests may run.
 const probeLasts = 5 * time.Second
 
-// fleet is nodes with a guard each, before one store and targets that can end.
+// fleet is a set of nodes, each with a Guard, that share one store and targets that can end.
 type fleet struct {
 	store  *store.Memory
 	paths  []*path
@@ -31,19 +31,19 @@
 	stop   func()
 
 	mu sync.Mutex
-	// gone are the addresses where nobody listens.
-	gone map[string]bool
+	// closed holds the addresses that accept no connections.
+	closed map[string]bool
 }
 
-// path is one node's way to the store.
+// path is one node's connection to the store.
 type path struct {
 	store.Store
 	watched store.Watchable
 	mu      sync.Mutex
 	cut     bool
-	// blind paths read nothing of what others write.
+	// blind paths do not deliver what others write.
 	blind bool
-	// gets counts the reads of one row.
+	// gets counts the calls of Get.
 	gets int
 }
 
@@ -106,11 +106,11 @@
 	return p.watched.Changes(ctx, table, after, wait)
 }
 
-// newFleet starts nodes; stop must be called.
+// newFleet starts the nodes. The caller must call stop.
 func newFleet(nodes int) *fleet {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	f := &fleet{store: store.NewMemory(), gone: make(map[string]bool)}
+	f := &fleet{store: store.NewMemory(), closed: make(map[string]bool)}
 	f.stop = func() { cancel(); wg.Wait() }
 	for i := range nodes {
 		p := &path{Store: f.store, watched: f.store}
@@ -128,7 +128,7 @@
 func (f *fleet) dial(_ context.Context, _, addr string) (net.Conn, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.gone[addr] {
+	if f.closed[addr] {
 		return nil, errors.New("refused")
 	}
 	a, b := net.Pipe()
@@ -140,10 +140,10 @@
 func (f *fleet) end(addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.gone[addr] = true
+	f.closed[addr] = true
 }
 
-// run sends a request at a node, under which the target ends or not. It reports whether the
+// run sends a request at a node; ends says whether the target ends under it. It reports whether the
 // request was sent, and whether as a probe.
 func (f *fleet) run(node int, d Digest, target string, ends bool) (sent, probe bool) {
 	g := f.guards[node]
@@ -162,7 +162,8 @@
 	return true, name != ""
 }
 
-// quarantine lets two targets end under a request, and all nodes hear of it.
+// quarantine lets two targets end under a request, and waits until all nodes have read the
+// quarantine.
 func (f *fleet) quarantine(d Digest) {
 	f.run(0, d, "a", true)
 	f.run(0, d, "b", true)
@@ -181,7 +182,7 @@
 		c.Assert(f.guards[1].Admit(d), qt.IsNil)
 		f.run(1, d, "e1", true)
 		time.Sleep(10 * time.Millisecond)
-		// One probe, by whoever claims it, and nothing else meanwhile.
+		// One node claims the probe, and nothing else is sent meanwhile.
 		name, err := f.guards[2].Send(t.Context(), d, probeLasts)
 		c.Assert(err, qt.IsNil)
 		c.Assert(name, qt.Not(qt.Equals), "")
@@ -189,7 +190,7 @@
 		for _, g := range f.guards {
 			var refused *Refused
 			c.Assert(errors.As(g.Admit(d), &refused), qt.IsTrue)
-			c.Assert(refused.After, qt.Equals, retryProbing)
+			c.Assert(refused.After, qt.Equals, retryDuringProbe)
 		}
 		f.end("e2")
 		<-f.guards[2].Ended(Run{Digest: d, Began: time.Now().Add(-time.Second), Process: "e2@0", Addr: "e2", Probe: name})
@@ -199,7 +200,7 @@
 			c.Assert(errors.As(g.Admit(d), &refused), qt.IsTrue)
 			c.Assert(refused.After > 10*time.Second, qt.IsTrue, qt.Commentf("come back after %v", refused.After))
 		}
-		// The next one when nothing was learned for a time.
+		// The next probe may run after a pause without new information.
 		time.Sleep(probePauses[1])
 		c.Assert(f.guards[0].Admit(d), qt.IsNil)
 		_, probe := f.run(0, d, "e3", false)
@@ -225,8 +226,7 @@
 	})
 }
 
-// The same message comes all the time, and any target survives it: ends with another cause,
-// each between two answers, quarantine nothing.
+// Ends with another cause, each between two answers of the same message, do not quarantine it.
 func TestMessageThatIsAnsweredAllTheTimeIsNotQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -244,8 +244,8 @@
 	})
 }
 
-// A call of a stage breaks off under a probe and its target lives on: the former makes another
-// one under the same probe, so that nobody else may claim one meanwhile.
+// A call of a stage breaks off under a probe and its target still runs: the batch former makes
+// another call under the same probe, so that no other node may claim one meanwhile.
 func TestProbeThatGoesOnIsNotGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -266,8 +266,8 @@
 	})
 }
 
-// A node that holds a probe is killed: another may try once the probe's own time is over and the
-// pause after it, not a minute later.
+// A node that holds a probe is killed: another node may probe once the time of that probe and the
+// pause after it have passed, not a minute later.
 func TestProbeOfANodeThatIsGoneIsNotWaitedForLong(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -286,7 +286,7 @@
 	})
 }
 
-// Runs that began at a process which was known to have ended say nothing of their requests.
+// A run that began after its process was found to have ended is no evidence against its request.
 func TestRunAtAProcessThatHadEndedIsNoEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -299,8 +299,8 @@
 	})
 }
 
-// An account that sends ever new requests under which targets end takes a bounded amount of
-// memory, and nobody else's requests are refused.
+// A client account that sends ever new requests under which targets end takes a bounded amount of
+// memory, and requests of other accounts are not refused.
 func TestEndsUnderManyRequestsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -309,25 +309,25 @@
 		f.paths[0].setCut(true)
 		g := f.guards[0]
 		f.end("e")
-		for i := range 2 * ownRecords {
+		for i := range 2 * maxLocalRecords {
 			g.Ended(Run{Digest: digest(fmt.Sprint(i)), Began: time.Now().Add(-time.Second), Process: fmt.Sprint("e@", i), Addr: "e"})
 		}
 		time.Sleep(time.Second)
 		g.mu.Lock()
-		own := g.own.Len()
+		local := g.local.Len()
 		g.mu.Unlock()
-		c.Assert(own, qt.Equals, ownRecords)
+		c.Assert(local, qt.Equals, maxLocalRecords)
 		g.queue.mu.Lock()
 		queued := len(g.queue.ops)
 		g.queue.mu.Unlock()
-		// What is being written goes back once it failed.
-		c.Assert(queued <= maxQueued+mostAtOnce, qt.IsTrue, qt.Commentf("%d queued", queued))
+		// A batch whose write failed goes back to the queue.
+		c.Assert(queued <= maxQueued+maxBatch, qt.IsTrue, qt.Commentf("%d queued", queued))
 		c.Assert(g.Counts().Dropped > 0, qt.IsTrue)
 		c.Assert(g.Admit(DigestOf("agents", "POST", "port.example", "/1", nil)), qt.IsNil)
 	})
 }
 
-// Without the store a node goes by what it saw itself, and makes one probe.
+// A node without the store decides by the ends that it observed itself, and makes one probe.
 func TestNodeWithoutTheStoreBoundsWhatItSends(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -342,29 +342,29 @@
 			time.Sleep(time.Second)
 		}
 		c.Assert(sends, qt.Equals, quarantineEnds+1)
-		// What it saw is told as soon as the store is back.
+		// The node writes its ends as soon as it reaches the store again.
 		f.paths[0].setCut(false)
 		time.Sleep(time.Second)
 		c.Assert(f.guards[1].Admit(digest("x")), qt.IsNotNil)
-		r := f.guards[1].known(digest("x"))
+		r := f.guards[1].lookup(digest("x"))
 		c.Assert(r.Probes, qt.Equals, 1)
 	})
 }
 
-// The oracle knows each request's nature, and what its nodes were told. Targets end under the
-// poison requests and answer the others; nodes lose the store, and the store loses answers,
-// is late and slow. Whatever comes:
-//   - probes of one request never run beside each other while the store answers all;
+// The oracle knows which requests are poisonous, and what was reported to the nodes. Targets end
+// under the poison requests and answer the others; nodes lose the store, and the store loses
+// replies, is slow and commits late. In all cases:
+//   - probes of one request never overlap while the store answers all nodes;
 //   - a poison request reaches targets a bounded number of times;
-//   - a request that a target answers is let through again once all is well.
+//   - a request that a target answers is admitted again once all faults have ended.
 //
-// Each of these mutations is found by 2,000 scripts of one seed: a claim without its condition;
-// ends that are not written; an answer that does not end the quarantine; rows of other nodes that
-// are not taken in; an end that is forgotten while it is being written.
+// 2,000 scripts of one seed find each of these mutations: a claim without its condition; ends that
+// are not written; an answer that does not end the quarantine; rows of other nodes that are not
+// applied; an end that is removed from the queue while it is being written.
 func TestOracleQuarantine(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		nodes := rapid.IntRange(1, 4).Draw(rt, "nodes")
-		// Half of the scripts have a sound store: then the bounds are tight.
+		// Half of the scripts have a store without faults: for these the bounds are tight.
 		what := []string{"run", "run", "run", "run", "wait", "other end", "all ask"}
 		if rapid.Bool().Draw(rt, "troubled") {
 			what = append(what, "cut", "faults", "healthy")
@@ -388,7 +388,7 @@
 	Duration time.Duration
 }
 
-// poisonous says which requests end their targets.
+// poisonous says under which requests targets end.
 var poisonous = map[string]bool{"p0": true, "p1": true, "i0": false, "i1": false}
 
 func drawStep(nodes int, what []string) func(t *rapid.T) step {
@@ -408,19 +408,19 @@
 	}
 }
 
-// script is a script that is played, with what the oracle knows.
+// script is the state of a script while it runs, with what the oracle knows.
 type script struct {
 	*fleet
-	// reached counts the sends of each request, targets the targets so far.
+	// reached counts the sends of each request, targets the targets used so far.
 	reached map[string]int
 	targets int
-	// calm says that the store has answered all nodes all the time.
-	calm       bool
+	// healthy reports that the store has answered all nodes all the time.
+	healthy    bool
 	violations []string
 }
 
 func playQuarantine(nodes int, steps []step) []string {
-	s := &script{fleet: newFleet(nodes), reached: make(map[string]int), calm: true}
+	s := &script{fleet: newFleet(nodes), reached: make(map[string]int), healthy: true}
 	defer s.stop()
 	for _, st := range steps {
 		s.play(st)
@@ -429,9 +429,9 @@
 	for _, p := range s.paths {
 		p.setCut(false)
 	}
-	time.Sleep(probeTime + probePauses[len(probePauses)-1] + 10*time.Second)
+	time.Sleep(maxProbeTime + probePauses[len(probePauses)-1] + 10*time.Second)
 	for name := range poisonous {
-		s.settles(name)
+		s.checkFinal(name)
 	}
 	return s.violations
 }
@@ -442,33 +442,33 @@
 	switch st.What {
 	case "cut":
 		s.paths[st.Node].setCut(st.Cut)
-		s.calm = s.calm && !st.Cut
+		s.healthy = s.healthy && !st.Cut
 	case "faults":
 		s.store.SetFaults(st.Faults)
-		s.calm = false
+		s.healthy = false
 	case "healthy":
 		s.store.SetFaults(store.Faults{})
 	case "wait":
 		time.Sleep(st.Duration)
 	case "other end":
-		// With another cause, under a request that any target survives.
+		// An end with another cause, under a request that any target survives.
 		if !poisonous[st.Request] {
 			s.end(target)
 			<-s.guards[st.Node].Ended(Run{Digest: digest(st.Request), Began: time.Now().Add(-time.Second), Process: target + "@0", Addr: target})
 		}
 	case "all ask":
-		s.probesExclude(digest(st.Request))
+		s.checkProbesExclude(digest(st.Request))
 	case "run":
 		if sent, _ := s.run(st.Node, digest(st.Request), target, poisonous[st.Request]); sent {
 			s.reached[st.Request]++
 		}
-		// The next request comes once the others can have heard of it.
+		// The next request comes after the other nodes can have read the changes.
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// probesExclude lets all nodes send a request at once.
-func (s *script) probesExclude(d Digest) {
+// checkProbesExclude lets all nodes send a request at once, and checks that at most one probes it.
+func (s *script) checkProbesExclude(d Digest) {
 	probes := make([]string, len(s.guards))
 	var wg sync.WaitGroup
 	for i, g := range s.guards {
@@ -482,18 +482,20 @@
 			s.guards[i].Abandoned(d, p)
 		}
 	}
-	if s.calm && running > 1 {
+	if s.healthy && running > 1 {
 		s.violations = append(s.violations, fmt.Sprintf("%d probes of one request at once", running))
 	}
 	time.Sleep(50 * time.Millisecond)
 }
 
-// settles checks what becomes of a request once all is well.
-func (s *script) settles(name string) {
+// checkFinal checks the bound of a poison request, and that any other request is admitted once all
+// faults have ended.
+func (s *script) checkFinal(name string) {
 	d := digest(name)
-	// Each node may take two ends and a probe of its own while it hears nothing of the others.
+	// Each node may cause two ends and make a probe of its own while it receives nothing from the
+	// others.
 	most := quarantineEnds + len(probePauses)
-	if !s.calm {
+	if !s.healthy {
 		most = len(s.guards) * (quarantineEnds + 1 + len(probePauses))
 	}
 	if poisonous[name] {
@@ -506,7 +508,7 @@
 		sent, _ := s.run(i, d, "sound", false)
 		time.Sleep(time.Second)
 		if !sent && i > 0 {
-			r := s.guards[i].known(d)
+			r := s.guards[i].lookup(d)
 			s.violations = append(s.violations, fmt.Sprintf("%s is refused for good at node %d: %+v", name, i, r))
 		}
 	}
--- a/internal/poison/operate.go
+++ b/internal/poison/operate.go
@@ -13,18 +13,18 @@
 	"topazmoor/internal/store"
 )
 
-// auditTable holds what operators did about quarantines, by time and digest.
+// auditTable holds the actions of operators on quarantines, keyed by time and digest.
 const auditTable = "quarantine-audit"
 
-// Listed is a request under which a target ended, as operators see it.
+// Listed is a request under which a target ended, as it is shown to operators.
 type Listed struct {
 	Digest string `json:"digest"`
 	Record
-	// Quarantined says that it is let through by probes only.
+	// Quarantined reports that only probes of the request are sent.
 	Quarantined bool `json:"quarantined"`
 }
 
-// List returns the requests under which targets ended, those in quarantine first.
+// List returns the requests under which targets ended, those with the most ended processes first.
 func List(ctx context.Context, tables store.Tables) ([]Listed, error) {
 	var out []Listed
 	for after := ""; ; {
@@ -48,7 +48,7 @@
 	return out, nil
 }
 
-// Lifted is what is kept of a quarantine that an operator lifted.
+// Lifted is the audit record of a quarantine that an operator lifted.
 type Lifted struct {
 	Digest string    `json:"digest"`
 	By     string    `json:"by"`
@@ -57,12 +57,12 @@
 	Record Record    `json:"record"`
 }
 
-// ErrNotListed: no target ended under the request, as far as the store knows.
+// ErrNotListed is the error for a request without a record in the store.
 var ErrNotListed = errors.New("poison: no target ended under the request")
 
-// Lift lets a request through again, and notes who did so and why. Nodes act on it as soon as
-// the store tells them. It fails with ErrNotListed, or with a *store.ConflictError where its
-// record changed meanwhile.
+// Lift removes the record of a request, so that it is admitted again, and writes an audit record
+// with the operator and the reason. Nodes apply it when they read the change from the store. It
+// fails with ErrNotListed, or with a *store.ConflictError if the record changed concurrently.
 func Lift(ctx context.Context, tables store.Tables, d Digest, by, note string, at time.Time) (Lifted, error) {
 	row, err := tables.Get(ctx, crashTable, d.String())
 	if errors.Is(err, store.ErrNotFound) {
--- a/internal/poison/record.go
+++ b/internal/poison/record.go
@@ -9,65 +9,65 @@
 )
 
 const (
-	// quarantineEnds is how many different processes may end under a request before it is
-	// quarantined. One end may have any cause, and up to 50 requests are in progress there;
-	// of those that see a second one nearly all are innocent only where targets end all the
-	// time, and a probe clears them.
+	// quarantineEnds is the number of different processes that must end under a request to
+	// quarantine it. One end may have any cause, and up to 50 requests are in progress at the
+	// target. Most requests under which a second target ends are innocent only where targets end
+	// all the time, and a probe clears those.
 	quarantineEnds = 2
-	// probeTime bounds how long a probe may take; routes give requests up to 20 s.
-	probeTime = time.Minute
-	// probeSlack is how long after a probe's own time its node may take to tell its end: a
-	// commit, at a slow store. A node that says nothing by then is presumed gone.
-	probeSlack = time.Second
-	// maxNamed bounds the processes that a record names.
-	maxNamed = 8
+	// maxProbeTime bounds how long a probe may take. Routes give requests up to 20 s.
+	maxProbeTime = time.Minute
+	// probeReportSlack is how long after the time of a probe its node may take to write the
+	// outcome: one commit at a slow store. After that the node is presumed to have failed.
+	probeReportSlack = time.Second
+	// maxProcesses bounds the processes that a record names.
+	maxProcesses = 8
 )
 
-// probePauses are the times that must have passed since anything was learned before the next
-// probe: the first one at once, as a request that is innocent must not wait, nor long after a
-// probe that met an end with another cause; each costs a target where it is not innocent. There
-// are no more of them while the record stands: of the three sends that may follow a third end
-// one is left for what nodes send that have not heard of it.
+// probePauses are the times without new information that must pass before each probe. The first
+// probe may run at once, as an innocent request must not wait. The second follows soon, in case the
+// target of the first ended for another cause. Each probe costs a target if the request is not
+// innocent. There are no further probes while the record exists: of the three sends that may follow
+// a third end, one is reserved for nodes that have not read of that end yet.
 var probePauses = [...]time.Duration{0, 15 * time.Second, 2 * time.Minute}
 
-// recordLife is how long a record stands of which nothing new was learned.
-const recordLife = 2 * time.Hour
+// recordTTL is how long a record is kept without new information.
+const recordTTL = 2 * time.Hour
 
-// Record is what the nodes together know of a request under which targets ended. A request
-// that was answered has none.
+// Record is the shared information of all nodes on a request under which targets ended. An answered
+// request has none.
 type Record struct {
-	// Ended names the processes that ended under it; at most maxNamed.
+	// Ended names the processes that ended under the request, at most maxProcesses.
 	Ended []string `json:"ended"`
-	// Probes is how often it was let through in quarantine.
+	// Probes is the number of probes that were claimed.
 	Probes int `json:"probes,omitempty"`
-	// Probe names the probe in progress; "" for none. ProbeMS is how long it may take, in
+	// Probe names the probe in progress; empty if none. ProbeMS is how long the probe may take, in
 	// milliseconds.
 	Probe   string `json:"probe,omitempty"`
 	ProbeMS int64  `json:"probe_ms,omitempty"`
 }
 
-// withProbe returns the record with a probe in progress that may take so long.
+// withProbe returns the record with a probe in progress that may take the duration lasts.
 func (r Record) withProbe(name string, lasts time.Duration) Record {
 	r.Probes++
-	r.Probe, r.ProbeMS = name, min(lasts+probeSlack, probeTime).Milliseconds()
+	r.Probe, r.ProbeMS = name, min(lasts+probeReportSlack, maxProbeTime).Milliseconds()
 	return r
 }
 
-// probing returns for how long the probe in progress may still run when nothing was learned
-// for a time; 0 for none.
-func (r Record) probing(unchanged time.Duration) time.Duration {
+// probeTimeLeft returns how long the probe in progress may still run if the record has been
+// unchanged for a time; 0 if there is no probe.
+func (r Record) probeTimeLeft(unchanged time.Duration) time.Duration {
 	if r.Probe == "" {
 		return 0
 	}
 	return max(time.Duration(r.ProbeMS)*time.Millisecond-unchanged, 0)
 }
 
-// Quarantined reports whether the request is let through by probes only.
+// Quarantined reports whether only probes of the request may be sent.
 func (r Record) Quarantined() bool { return len(r.Ended) >= quarantineEnds }
 
-// withEnd returns the record with one more end, under a probe or not. A process ends once,
-// whoever tells of it. A probe that the record does not have was made without the store, and
-// counts as well.
+// withEnd returns the record with the end of a process added; probe names the probe under which it
+// ended, or is empty. A process is added once, whichever nodes report it. A probe that the record
+// does not contain was made without the store, and counts as well.
 func (r Record) withEnd(process, probe string) Record {
 	known := slices.Contains(r.Ended, process)
 	switch {
@@ -76,14 +76,14 @@
 	case probe != "" && !known:
 		r.Probes++
 	}
-	if known || len(r.Ended) >= maxNamed {
+	if known || len(r.Ended) >= maxProcesses {
 		return r
 	}
 	r.Ended = append(slices.Clone(r.Ended), process)
 	return r
 }
 
-// merged returns the record with all that another one of the same request has.
+// merged returns the record with the ends and probes of another record of the same request added.
 func (r Record) merged(o Record) Record {
 	for _, process := range o.Ended {
 		r = r.withEnd(process, "")
@@ -99,21 +99,21 @@
 
 // The decisions.
 const (
-	// Pass: it may be sent like any other.
+	// Pass: the request may be sent like any other.
 	Pass Decision = iota
-	// MayProbe: it may be sent alone, by whoever claims the probe.
+	// MayProbe: the request may be sent alone, by the node that claims the probe.
 	MayProbe
-	// Refuse: it must not be sent.
+	// Refuse: the request must not be sent.
 	Refuse
 )
 
-// Decide says what may be done with the request when nothing was learned of it for a time. A
-// refusal comes with when that changes; 0 for not while the record stands.
+// Decide returns what may be done with the request if its record has been unchanged for a time.
+// after is when a refusal ends; 0 if it lasts as long as the record.
 func (r Record) Decide(unchanged time.Duration) (d Decision, after time.Duration) {
 	if !r.Quarantined() {
 		return Pass, 0
 	}
-	if left := r.probing(unchanged); left > 0 {
+	if left := r.probeTimeLeft(unchanged); left > 0 {
 		return Refuse, left
 	}
 	if r.Probes >= len(probePauses) {
@@ -125,19 +125,19 @@
 	return MayProbe, 0
 }
 
-// decodeRecord reads a row.
+// decodeRecord decodes the value of a row.
 func decodeRecord(value []byte) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(value, &r); err != nil {
-		return Record{}, eris.Wrap(err, "record of a request that crashes targets")
+		return Record{}, eris.Wrap(err, "decode request record")
 	}
-	if len(r.Ended) > maxNamed || r.Probes < 0 {
-		return Record{}, eris.Errorf("record of a request that crashes targets: %d ends, %d probes", len(r.Ended), r.Probes)
+	if len(r.Ended) > maxProcesses || r.Probes < 0 {
+		return Record{}, eris.Errorf("invalid request record: %d ends, %d probes", len(r.Ended), r.Probes)
 	}
 	return r, nil
 }
 
-// encode returns the row's value.
+// encode returns the value of the record's row.
 func (r Record) encode() []byte {
 	b, err := json.Marshal(r)
 	if err != nil {
--- a/internal/poison/record_test.go
+++ b/internal/poison/record_test.go
@@ -18,7 +18,7 @@
 		DigestOf("pilots", "POST", "yard.example", "/plan/x", []byte("tug 7")),
 		DigestOf("pilots", "POST", "port.example", "/plan/y", []byte("tug 7")),
 		DigestOf("pilots", "POST", "port.example", "/plan/x", []byte("tug 8")),
-		// What ends one part does not begin the next.
+		// The end of one part does not run into the next.
 		DigestOf("pilots", "POST", "port.example", "/plan/xt", []byte("ug 7")),
 	} {
 		c.Assert(other, qt.Not(qt.Equals), d)
@@ -44,7 +44,7 @@
 		"a probe whose node is gone":          {Record{Ended: two, Probes: 1, Probe: "p", ProbeMS: 5000}, probePauses[1], MayProbe, 0},
 		"the next after a pause":              {Record{Ended: two, Probes: 1}, time.Second, Refuse, probePauses[1] - time.Second},
 		"the pause has passed":                {Record{Ended: two, Probes: 2}, probePauses[2], MayProbe, 0},
-		"no more":                             {Record{Ended: two, Probes: len(probePauses)}, recordLife, Refuse, 0},
+		"no more":                             {Record{Ended: two, Probes: len(probePauses)}, recordTTL, Refuse, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -60,14 +60,14 @@
 	r := Record{Probes: 1, Probe: "p"}.withEnd("a", "").withEnd("a", "")
 	c.Assert(r.Ended, qt.DeepEquals, []string{"a"})
 	c.Assert(r.Probe, qt.Equals, "p")
-	// The probe ended the process that another request told of before.
+	// The probe ended a process whose end another request had reported before.
 	r = r.withEnd("a", "p")
 	c.Assert(r.Ended, qt.DeepEquals, []string{"a"})
 	c.Assert(r.Probe, qt.Equals, "")
-	for i := range 2 * maxNamed {
+	for i := range 2 * maxProcesses {
 		r = r.withEnd(fmt.Sprint(i), "")
 	}
-	c.Assert(r.Ended, qt.HasLen, maxNamed)
+	c.Assert(r.Ended, qt.HasLen, maxProcesses)
 }
 
 func FuzzDecodeRecord(f *testing.F) {
--- a/internal/poison/report.go
+++ b/internal/poison/report.go
@@ -12,23 +12,24 @@
 	"topazmoor/internal/store"
 )
 
-// Tables in the store. All nodes follow QuarantineTable; crashTable has every request under
-// which a target ended, most of them once and innocent, and is only read for one request.
+// Tables in the store. All nodes follow QuarantineTable. crashTable has all requests under which a
+// target ended, most of them once and innocent. It is not followed: it is read for single requests,
+// by List and by the removal of old rows.
 const (
 	QuarantineTable = "quarantine"
 	crashTable      = "crashes"
 )
 
 const (
-	// mostAtOnce is the most ends in one transaction, well below the store's 100 entries: a
-	// target has up to 50 requests in progress, and each is a condition and a write.
-	mostAtOnce = 40
-	// maxQueued bounds what is to be written while the store is away.
+	// maxBatch bounds the ends in one transaction, well below the store's limit of 100 entries: a
+	// target has up to 50 requests in progress, and each takes a condition and a write.
+	maxBatch = 40
+	// maxQueued bounds the ops that wait while the store is unavailable.
 	maxQueued = 1024
-	// retryStore is the pause after a call that the store did not take, half of it random.
-	retryStore = 400 * time.Millisecond
-	// maxRaces is how often a row is read again that others changed meanwhile.
-	maxRaces = 5
+	// storeRetryPause is the longest pause after a failed call of the store; half of it is random.
+	storeRetryPause = 400 * time.Millisecond
+	// maxConflicts bounds the attempts to change a row that others change concurrently.
+	maxConflicts = 5
 	// claimTimeout bounds the claim of a probe.
 	claimTimeout = 500 * time.Millisecond
 	// callTimeout bounds one call of the store.
@@ -41,26 +42,26 @@
 	opEnd opKind = iota
 	opAnswered
 	opAbandoned
-	// opKept has a record that the store lost.
-	opKept
+	// opRestore writes a record that the store lost.
+	opRestore
 )
 
-// op is something to be written.
+// op is a change of a request's record that is to be written to the store.
 type op struct {
 	kind           opKind
 	digest         Digest
 	process, probe string
 	record         Record
-	// told says that other nodes were told of it, or that this one was.
-	told    bool
+	// shared reports that the end was sent to other nodes, or received from one.
+	shared  bool
 	written chan struct{}
 }
 
-// queue holds what is to be written, oldest first.
+// queue holds the ops that are to be written, oldest first.
 type queue struct {
 	mu  sync.Mutex
 	ops []op
-	// writing are those that were taken and are not written yet.
+	// writing are the ops that were taken and are not written yet.
 	writing []op
 	dropped int64
 	wake    chan struct{}
@@ -68,7 +69,7 @@
 
 func newQueue() queue { return queue{wake: make(chan struct{}, 1)} }
 
-// push adds an op and returns a channel that is closed once it is written, or dropped.
+// push adds an op and returns a channel that is closed once the op is written or dropped.
 func (q *queue) push(o op) <-chan struct{} {
 	o.written = make(chan struct{})
 	q.mu.Lock()
@@ -86,14 +87,15 @@
 	return o.written
 }
 
-// take removes the ops that go into one call: ends together, others by themselves.
+// take removes the ops of the next write: consecutive ends of different requests together, any
+// other op alone.
 func (q *queue) take() []op {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	n := 0
-	named := make(map[Digest]bool)
-	for n < len(q.ops) && n < mostAtOnce && (n == 0 || q.ops[n].kind == opEnd && q.ops[0].kind == opEnd && !named[q.ops[n].digest]) {
-		named[q.ops[n].digest] = true
+	digests := make(map[Digest]bool)
+	for n < len(q.ops) && n < maxBatch && (n == 0 || q.ops[n].kind == opEnd && q.ops[0].kind == opEnd && !digests[q.ops[n].digest]) {
+		digests[q.ops[n].digest] = true
 		n++
 	}
 	q.writing = q.ops[:n:n]
@@ -101,46 +103,46 @@
 	return q.writing
 }
 
-// holds reports whether something about a request is still to be written.
-func (q *queue) holds(d Digest) bool {
+// contains reports whether an op of the request is not written yet.
+func (q *queue) contains(d Digest) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	about := func(o op) bool { return o.digest == d }
-	return slices.ContainsFunc(q.ops, about) || slices.ContainsFunc(q.writing, about)
+	matches := func(o op) bool { return o.digest == d }
+	return slices.ContainsFunc(q.ops, matches) || slices.ContainsFunc(q.writing, matches)
 }
 
-// putBack returns ops that could not be written.
-func (q *queue) putBack(ops []op) {
+// requeue puts ops whose write failed back at the front.
+func (q *queue) requeue(ops []op) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.ops = append(ops, q.ops...)
 	q.writing = nil
 }
 
-// untold returns the ends that other nodes were not told of, which they now are.
-func (q *queue) untold() []End {
+// takeUnshared returns the queued ends that were not sent to other nodes, and marks them as sent.
+func (q *queue) takeUnshared() []End {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var out []End
 	for i := range q.ops {
-		if o := &q.ops[i]; o.kind == opEnd && !o.told {
-			o.told = true
+		if o := &q.ops[i]; o.kind == opEnd && !o.shared {
+			o.shared = true
 			out = append(out, End{Digest: o.digest, Process: o.process, Probe: o.probe})
 		}
 	}
 	return out
 }
 
-// wrote notes that what was taken is written.
-func (q *queue) wrote() {
+// finishWrite marks the taken ops as written.
+func (q *queue) finishWrite() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.writing = nil
 }
 
-// Serve implements suture.Service: it writes what was told, and removes old rows.
+// Serve implements suture.Service. It writes the queued ops, and removes old rows.
 func (g *Guard) Serve(ctx context.Context) error {
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		ops := g.queue.take()
@@ -158,24 +160,25 @@
 	return ctx.Err()
 }
 
-// write writes ops; those that the store does not take go back.
+// write writes ops, and requeues those that the store did not accept.
 func (g *Guard) write(ctx context.Context, ops []op) {
 	left, err := g.writeAll(ctx, ops)
 	if err == nil {
-		g.queue.wrote()
+		g.queue.finishWrite()
 		return
 	}
-	g.queue.putBack(left)
-	g.cfg.Log.Info("ends under requests not written yet", "waiting", len(left), "err", err)
+	g.queue.requeue(left)
+	g.cfg.Log.Info("write of ends under requests failed, to be retried", "waiting", len(left), "err", err)
 	g.pause(ctx)
 }
 
-// pause waits until the store is asked again, and tells other nodes what comes meanwhile.
+// pause waits before the next call of the store, and sends ends that are queued meanwhile to other
+// nodes.
 func (g *Guard) pause(ctx context.Context) {
-	timer := time.NewTimer(retryStore/2 + rand.N(retryStore/2))
+	timer := time.NewTimer(storeRetryPause/2 + rand.N(storeRetryPause/2))
 	defer timer.Stop()
 	for {
-		g.tell(ctx, g.queue.untold())
+		g.shareEnds(ctx, g.queue.takeUnshared())
 		select {
 		case <-ctx.Done():
 			return
@@ -186,10 +189,10 @@
 	}
 }
 
-// writeAll writes ops and returns those that are left.
+// writeAll writes ops and returns those that are left after an error.
 func (g *Guard) writeAll(ctx context.Context, ops []op) (left []op, err error) {
 	if len(ops) > 1 {
-		if ops, err = g.writeFirst(ctx, ops); err != nil {
+		if ops, err = g.writeFirstEnds(ctx, ops); err != nil {
 			return ops, err
 		}
 	}
@@ -202,9 +205,9 @@
 	return nil, nil
 }
 
-// writeFirst writes the ends of requests under which none is known yet, in one transaction,
-// and returns the ops that are left.
-func (g *Guard) writeFirst(ctx context.Context, ops []op) ([]op, error) {
+// writeFirstEnds writes the ends of requests without a record, in one transaction, and returns the
+// ops that are left to write one by one.
+func (g *Guard) writeFirstEnds(ctx context.Context, ops []op) ([]op, error) {
 	var tx store.Tx
 	for _, o := range ops {
 		tx.Conditions = append(tx.Conditions, store.Condition{Table: crashTable, Key: o.digest.String()})
@@ -213,7 +216,8 @@
 	err := g.commit(ctx, tx)
 	var conflict *store.ConflictError
 	if errors.As(err, &conflict) || errors.Is(err, store.ErrUnknown) {
-		// Some are known already; one by one it is found out which.
+		// Some requests have a record already, or the outcome is unknown: writing one by one
+		// resolves it.
 		return ops, nil
 	}
 	if err != nil {
@@ -232,8 +236,8 @@
 	return err
 }
 
-// change is what an op makes of a record; remove takes the request's rows away, none leaves
-// them.
+// change is the effect of an op on a record: remove deletes the request's rows, none leaves them as
+// they are.
 type change struct {
 	record       Record
 	remove, none bool
@@ -251,16 +255,17 @@
 		r.Probe = ""
 		r.Probes--
 		return change{record: r}
-	case opKept:
+	case opRestore:
 		next := r.merged(o.record)
 		return change{record: next, none: len(next.Ended) == len(r.Ended) && next.Probes == r.Probes}
 	}
 	return change{remove: true, none: len(r.Ended) == 0}
 }
 
-// writeOne writes one op. A row that others keep changing is given up, as they tell the same.
+// writeOne writes one op. It gives up on a row that others keep changing, as they write the same
+// information.
 func (g *Guard) writeOne(ctx context.Context, o op) error {
-	for range maxRaces {
+	for range maxConflicts {
 		row, r, err := g.read(ctx, o.digest)
 		if err != nil {
 			return err
@@ -281,14 +286,14 @@
 			return err
 		}
 	}
-	g.cfg.Log.Warn("record of a request not changed: others change it all the time", "digest", o.digest)
+	g.cfg.Log.Warn("update of request record abandoned after repeated conflicts", "digest", o.digest)
 	return nil
 }
 
 func (g *Guard) logChange(o op, before Record, c change) {
 	switch {
 	case c.remove && before.Quarantined():
-		g.cfg.Log.Info("request in quarantine was answered, it is let through again", "digest", o.digest, "ends", len(before.Ended))
+		g.cfg.Log.Info("quarantined request was answered, quarantine ended", "digest", o.digest, "ends", len(before.Ended))
 	case !before.Quarantined() && c.record.Quarantined():
 		g.cfg.Log.Warn("request quarantined: targets end under it", "digest", o.digest, "ended", c.record.Ended)
 	case len(c.record.Ended) > len(before.Ended):
@@ -296,7 +301,7 @@
 	}
 }
 
-// rows is the transaction that changes a request's rows.
+// rows returns the transaction that changes a request's rows.
 func rows(d Digest, version store.Version, c change) store.Tx {
 	key := d.String()
 	tx := store.Tx{Conditions: []store.Condition{{Table: crashTable, Key: key, Version: version}}}
@@ -312,8 +317,8 @@
 	return tx
 }
 
-// read returns the record of a request as the store has it now; an empty one for none, with the
-// store's era.
+// read returns the current record of a request from the store. If there is none, the record is
+// empty and the row has only the store's era.
 func (g *Guard) read(ctx context.Context, d Digest) (store.Row, Record, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -327,32 +332,32 @@
 	}
 	r, err := decodeRecord(row.Value)
 	if err != nil {
-		// Written over: it tells nothing.
-		g.cfg.Log.Error("record of a request cannot be read", "digest", d, "err", err)
+		// An invalid record carries no information, and is overwritten.
+		g.cfg.Log.Error("invalid request record ignored", "digest", d, "err", err)
 		return row, Record{}, nil
 	}
 	return row, r, nil
 }
 
-// claim claims the probe of a quarantined request, which may take so long. unchanged is for how
-// long this node has seen its record as it is.
+// claim claims the probe of a quarantined request; lasts is how long the probe may take. unchanged
+// is how long this node has seen the record unchanged.
 func (g *Guard) claim(ctx context.Context, d Digest, lasts, unchanged time.Duration) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	probe := fmt.Sprintf("%s/%x", g.cfg.Node, rand.Uint64())
-	for range maxRaces {
+	for range maxConflicts {
 		row, r, err := g.read(ctx, d)
 		if err != nil {
-			return g.claimAlone(d, probe)
+			return g.claimLocally(d, probe)
 		}
 		if r.Probe == probe {
 			return probe, nil
 		}
-		r = g.withLost(d, row.Version, r)
+		r = g.withLostRecord(d, row.Version, r)
 		if !r.Quarantined() {
-			return "", g.unlisted(d, r)
+			return "", g.resolveUnlisted(d, r)
 		}
-		if decision, after := r.Decide(g.sinceChange(d, row.Version, unchanged)); decision != MayProbe {
+		if decision, after := r.Decide(g.unchangedFor(d, row.Version, unchanged)); decision != MayProbe {
 			return "", g.refuse(r, after)
 		}
 		err = g.commit(ctx, rows(d, row.Version, change{record: r.withProbe(probe, lasts)}))
@@ -363,56 +368,58 @@
 	return "", &Refused{After: retryWithoutStore}
 }
 
-// withLost returns the store's record, read at a version, with what this node has seen of it in an
-// earlier era: a store that came back from a copy has lost that. No record does not mean then that
-// the request was answered.
-func (g *Guard) withLost(d Digest, at store.Version, r Record) Record {
+// withLostRecord returns the store's record, read at a version, merged with the record that this
+// node has from an earlier era: a store that was restored from a copy has lost that one, so that a
+// missing record does not mean that the request was answered.
+func (g *Guard) withLostRecord(d Digest, at store.Version, r Record) Record {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	f, ok := g.fleet[d]
+	f, ok := g.stored[d]
 	if !ok || f.version.SameEra(at) {
 		return r
 	}
 	return r.merged(f.Record)
 }
 
-// unlisted decides on a request that only this node takes for quarantined: its ends are still
-// to be written, or it was answered meanwhile.
-func (g *Guard) unlisted(d Digest, r Record) error {
-	if g.queue.holds(d) {
-		return &Refused{Ends: len(r.Ended), After: retryProbing}
+// resolveUnlisted handles a request that only this node considers quarantined. Either its ends are
+// still to be written, then it is refused; or it was answered in the meantime, then its local
+// record is removed.
+func (g *Guard) resolveUnlisted(d Digest, r Record) error {
+	if g.queue.contains(d) {
+		return &Refused{Ends: len(r.Ended), After: retryDuringProbe}
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.own.Remove(d)
+	g.local.Remove(d)
 	return nil
 }
 
-// sinceChange is for how long the store's record has been as it is: as long as this node has
-// seen it so, which is not at all where it is another one.
-func (g *Guard) sinceChange(d Digest, version store.Version, unchanged time.Duration) time.Duration {
+// unchangedFor returns how long the store's record has been unchanged: unchanged if it is the
+// version that this node has, 0 if it is newer.
+func (g *Guard) unchangedFor(d Digest, version store.Version, unchanged time.Duration) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.fleet[d].version.Before(version) {
-		// The quarantine's row is written in the same transaction.
+	if g.stored[d].version.Before(version) {
+		// The row of QuarantineTable is written in the same transaction.
 		return 0
 	}
 	return unchanged
 }
 
-// claimAlone allows one probe of this node's own while the store does not answer: nobody can
-// tell whether others make one, and without any the innocent are refused until it is back.
-func (g *Guard) claimAlone(d Digest, probe string) (string, error) {
+// claimLocally allows one probe of this node while the store is unavailable. It cannot be known
+// whether other nodes probe too, but without any probe innocent requests would be refused until the
+// store is back.
+func (g *Guard) claimLocally(d Digest, probe string) (string, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	own, _ := g.own.Get(d)
-	own.since = time.Now()
-	if f, ok := g.fleet[d]; (ok && f.Probes > 0) || own.Probes > 0 {
-		g.own.Add(d, own)
-		return "", &Refused{Ends: len(own.Ended), After: retryWithoutStore}
+	local, _ := g.local.Get(d)
+	local.since = time.Now()
+	if f, ok := g.stored[d]; (ok && f.Probes > 0) || local.Probes > 0 {
+		g.local.Add(d, local)
+		return "", &Refused{Ends: len(local.Ended), After: retryWithoutStore}
 	}
-	own.Probes++
-	own.Probe = probe
-	g.own.Add(d, own)
+	local.Probes++
+	local.Probe = probe
+	g.local.Add(d, local)
 	return probe, nil
 }
--- a/internal/poison/stats.go
+++ b/internal/poison/stats.go
@@ -2,26 +2,27 @@
 
 import "sync/atomic"
 
-// stats counts what a Guard did.
+// stats are the counters of a Guard.
 type stats struct {
 	ends, probes, refused atomic.Int64
 }
 
-// Counts are the counts of a Guard since its start.
+// Counts are the totals of a Guard since its start.
 type Counts struct {
-	// Ends are ends of targets under requests of this node, Probes sends of requests in
-	// quarantine, Refused those that were not sent.
+	// Ends counts ends of targets under requests of this node, Probes the sent probes, Refused the
+	// refusals.
 	Ends, Probes, Refused int64
-	// Dropped are ends that could not be written, as the store was away for too long.
+	// Dropped counts queued changes that were dropped because the queue was full while the store
+	// was unavailable.
 	Dropped int64
-	// Quarantined is how many requests are in quarantine now.
+	// Quarantined is the current number of quarantined requests.
 	Quarantined int
 }
 
-// Counts returns the counts so far.
+// Counts returns the totals so far.
 func (g *Guard) Counts() Counts {
 	g.mu.Lock()
-	quarantined := len(g.fleet)
+	quarantined := len(g.stored)
 	g.mu.Unlock()
 	g.queue.mu.Lock()
 	dropped := g.queue.dropped
--- a/internal/poison/sweep.go
+++ b/internal/poison/sweep.go
@@ -9,21 +9,22 @@
 	"topazmoor/internal/store"
 )
 
-// sweepEvery is how often old rows are looked for; the nodes take turns by chance.
-const sweepEvery = recordLife / 4
+// sweepInterval is how often a node may start a removal of old rows; each time, one node does so on
+// average.
+const sweepInterval = recordTTL / 4
 
-// sweep removes rows that have been the same for recordLife, as one node sees them: the store
-// keeps no times, and a row's version changes with each write.
+// sweep removes rows that have been unchanged for recordTTL, as observed by this node: the store
+// keeps no times, but the version of a row changes with each write.
 func (g *Guard) sweep(ctx context.Context) {
 	if n := g.cfg.Nodes(); n > 1 && rand.IntN(n) > 0 {
 		return
 	}
 	before, err := g.versions(ctx)
 	if err != nil {
-		g.cfg.Log.Info("old records of requests not looked for", "err", err)
+		g.cfg.Log.Info("scan for old request records failed", "err", err)
 		return
 	}
-	timer := time.NewTimer(recordLife)
+	timer := time.NewTimer(recordTTL)
 	go func() {
 		defer timer.Stop()
 		select {
@@ -34,7 +35,7 @@
 	}()
 }
 
-// versions returns the rows of all requests under which a target ended, by key.
+// versions returns the versions of the rows of all requests under which a target ended, by key.
 func (g *Guard) versions(ctx context.Context) (map[string]store.Version, error) {
 	out := make(map[string]store.Version)
 	for after := ""; ; {
@@ -52,14 +53,14 @@
 	}
 }
 
-// sweepPage is how many rows one call reads.
+// sweepPage is the number of rows that one call reads.
 const sweepPage = 500
 
-// removeOld removes the rows that are still as they were.
+// removeOld removes the rows that still have the versions of before.
 func (g *Guard) removeOld(ctx context.Context, before map[string]store.Version) {
 	now, err := g.versions(ctx)
 	if err != nil {
-		g.cfg.Log.Info("old records of requests not removed", "err", err)
+		g.cfg.Log.Info("removal of old request records failed", "err", err)
 		return
 	}
 	removed := 0
@@ -69,13 +70,13 @@
 		}
 		d, err := ParseDigest(key)
 		if err != nil {
-			g.cfg.Log.Error("record of a request left", "err", err)
+			g.cfg.Log.Error("request record with invalid key skipped", "err", err)
 			continue
 		}
 		err = g.commit(ctx, rows(d, version, change{remove: true}))
 		var conflict *store.ConflictError
 		if err != nil && !errors.As(err, &conflict) {
-			g.cfg.Log.Info("old records of requests not removed", "err", err)
+			g.cfg.Log.Info("removal of old request records failed", "err", err)
 			return
 		}
 		removed++
--- a/internal/poison/tell.go
+++ b/internal/poison/tell.go
@@ -10,50 +10,51 @@
 // End is an end of a target under a request.
 type End struct {
 	Digest Digest
-	// Process names the start of the target's process, Probe the probe that the run was; ""
-	// for none.
+	// Process identifies one start of the target's process. Probe names the probe under which it
+	// ended; empty if none.
 	Process, Probe string
 }
 
 const (
-	// mostTold is the most nodes that hear of ends which the store does not take: all of a
-	// small fleet, and enough of a large one that some of them reach the store.
-	mostTold = 12
-	// tellTimeout bounds one of these calls: a connection and its handshake take 3 round trips.
-	tellTimeout = 500 * time.Millisecond
+	// maxShareNodes bounds the nodes to which unwritten ends are sent: all nodes of a small
+	// installation, and enough of a large one that some of them reach the store.
+	maxShareNodes = 12
+	// shareTimeout bounds sending ends to all of these nodes, which happens concurrently. A
+	// connection with its handshake takes 3 round trips.
+	shareTimeout = 500 * time.Millisecond
 )
 
-// tell tells other nodes of ends that the store did not take: they may reach it, and where
-// nobody does, they know of them all the same.
-func (g *Guard) tell(ctx context.Context, ends []End) {
+// shareEnds sends ends that could not be written to the store to other nodes. They may reach the
+// store, and if none does, they still take the ends into account.
+func (g *Guard) shareEnds(ctx context.Context, ends []End) {
 	if len(ends) == 0 || g.cfg.Tell == nil {
 		return
 	}
 	others := append([]string(nil), g.cfg.Others()...)
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
+	ctx, cancel := context.WithTimeout(ctx, shareTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
-	for _, addr := range others[:min(len(others), mostTold)] {
+	for _, addr := range others[:min(len(others), maxShareNodes)] {
 		wg.Go(func() {
 			if err := g.cfg.Tell(ctx, addr, ends); err != nil {
-				g.cfg.Log.Info("node not told of ends under requests", "addr", addr, "ends", len(ends), "err", err)
+				g.cfg.Log.Info("sending of ends under requests to another node failed", "addr", addr, "ends", len(ends), "err", err)
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// Hear takes in ends that another node could not write.
+// Hear records ends that another node could not write to the store, and queues them to be written.
 func (g *Guard) Hear(ends []End) {
 	for _, e := range ends {
 		if e.Digest == (Digest{}) {
 			continue
 		}
 		g.mu.Lock()
-		g.learn(e.Digest, e.Process, e.Probe)
+		g.addLocalEnd(e.Digest, e.Process, e.Probe)
 		g.mu.Unlock()
-		g.queue.push(op{kind: opEnd, digest: e.Digest, process: e.Process, probe: e.Probe, told: true})
+		g.queue.push(op{kind: opEnd, digest: e.Digest, process: e.Process, probe: e.Probe, shared: true})
 	}
-	g.cfg.Log.Info("heard of ends under requests that another node could not write", "ends", len(ends))
+	g.cfg.Log.Info("received ends under requests that another node could not write", "ends", len(ends))
 }
--- a/internal/poison/unlisted_test.go
+++ b/internal/poison/unlisted_test.go
@@ -10,9 +10,10 @@
 	"topazmoor/internal/watch"
 )
 
-// TestRequestThatTheStoreDoesNotListIsServedAgain guards against a node that refuses a request for
-// good: targets end under it while the store is away, the probe that the node allows itself says
-// nothing, and another node sees the request answered before this one reads of its quarantine.
+// TestRequestThatTheStoreDoesNotListIsServedAgain guards against a node that refuses a request
+// forever: targets end under it while the store is unavailable, the probe that the node allows
+// itself is inconclusive, and another node sees the request answered before this one reads of its
+// quarantine.
 func TestRequestThatTheStoreDoesNotListIsServedAgain(t *testing.T) {
 	for name, abandoned := range map[string]bool{"probe given up": true, "probe not heard of": false} {
 		t.Run(name, func(t *testing.T) {
@@ -22,7 +23,7 @@
 				defer f.stop()
 				f.paths[0].setBlind(true)
 				f.paths[0].setCut(true)
-				// The call in progress ends.
+				// The call in progress ends first.
 				time.Sleep(2 * watch.LongWait)
 				f.run(0, digest("x"), "a", true)
 				f.run(0, digest("x"), "b", true)
@@ -31,7 +32,7 @@
 				c.Assert(probe, qt.Not(qt.Equals), "")
 				if abandoned {
 					f.guards[0].Abandoned(digest("x"), probe)
-					// It says nothing, so that the next one may come at once.
+					// The probe is inconclusive, so that the next one may run at once.
 					probe, err = f.guards[0].Send(t.Context(), digest("x"), probeLasts)
 					c.Assert(err, qt.IsNil)
 					f.guards[0].Abandoned(digest("x"), probe)
@@ -51,8 +52,8 @@
 	}
 }
 
-// While the store is away, a request that a node holds in quarantine by itself does not make it ask all
-// the time.
+// While the store is unavailable, a request that a node quarantines on its own does not make the
+// node call the store for each send.
 func TestStoreThatIsAwayIsNotAskedForEachRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
