--- a/internal/restore/restore.go
+++ b/internal/restore/restore.go
@@ -1,7 +1,7 @@
-// Package restore keeps in force what a store that came back from an older copy of itself has
-// lost, until who wrote it has written it again. Of each row it tells apart what was written
-// since the store's return, which holds at once; what the store has as it was once before, which
-// was overtaken long ago; and what only this process still knows.
+// Package restore keeps rows in force that a store has lost because it was restored from an older
+// copy of itself, until their writers write them again. A row that is written after the store came
+// back takes effect at once. A row that the store lost, or has with an earlier value, stays in force
+// as this process knows it, for a limited time.
 package restore
 
 import (
@@ -14,100 +14,104 @@
 )
 
 const (
-	// lostHold is for how long a row holds that the store lost, or has as it was before. Its
-	// writer knows of the store's return and writes again within seconds; after this time the
-	// store is believed, so that nodes which never saw the row and those that did agree.
+	// lostHold is how long a row stays in force that the store lost, or has with an earlier value.
+	// The writer of the row notices that the store came back and writes again within seconds. After
+	// lostHold the store's row takes effect, so that nodes which never saw the lost row and nodes
+	// which did agree.
 	lostHold = 30 * time.Second
-	// newHold is for how long a row that was never seen before waits where another one is in
-	// force: it may have been overtaken between two reads, and the newest one come at any
-	// moment. With the time in which changes are gathered (0.25 s) it leaves half of the 2 s in
-	// which a change must be in force.
+	// newHold is how long a row that this process never saw is held back if another one is in
+	// force: it may be outdated and unseen because it was replaced between two reads, and the
+	// newest row may be written at any moment. Together with the 0.25 s in which changes are
+	// gathered it takes 1.25 s of the 2 s in which a change must be in force.
 	newHold = time.Second
-	// maxPast bounds the values of a row that are remembered, maxGone the rows that are
-	// remembered although the store has them no more: some 100 bytes each.
-	maxPast = 32
-	maxGone = 4096
+	// maxHistory bounds the earlier values that are remembered per row. maxRemoved bounds the
+	// remembered rows that the store no longer has. One value takes about 100 bytes.
+	maxHistory = 32
+	maxRemoved = 4096
 )
 
-// mark names one value of a row. The number alone is given out again.
-type mark struct {
+// valueID identifies one value of a row. The version number alone does not, as a restored store
+// assigns numbers a second time.
+type valueID struct {
 	number int64
 	sum    uint64
 }
 
-func markOf(r store.Row) mark { return mark{number: r.Version.Number, sum: xxhash.Sum64(r.Value)} }
+func idOf(r store.Row) valueID { return valueID{number: r.Version.Number, sum: xxhash.Sum64(r.Value)} }
 
-// hold is a row of the store that does not hold yet.
+// hold delays a row of the store, or the absence of a row, that does not take effect yet.
 type hold struct {
-	// was is what the store had at its return; found says whether it had any.
+	// was is the version of the row when the store came back; found reports whether the store had
+	// the row.
 	was   store.Version
 	found bool
 	until time.Time
 }
 
-// Keeper keeps the rows of a table in force. The zero value is ready to use; it must not be used
-// concurrently.
-type Keeper struct {
-	at    store.Version
-	rows  map[string]store.Row
-	past  map[string][]mark
-	holds map[string]hold
+// Reconciler determines the rows of a table that are in force. The zero value is ready to use; it
+// must not be used concurrently.
+type Reconciler struct {
+	version store.Version
+	rows    map[string]store.Row
+	history map[string][]valueID
+	holds   map[string]hold
 }
 
-// Result is what a Keeper makes of a copy of the table.
+// Result is the outcome of one Update.
 type Result struct {
-	// Rows are in force.
+	// Rows are the rows in force.
 	Rows map[string]store.Row
-	// Returned says that the store has come back from a copy since the last call.
-	Returned bool
-	// Again is when the copy must be looked at again, as holds end; zero for never.
-	Again time.Time
-	// Lost are the keys of rows that the store does not have, or has as they were before;
-	// Undone those of rows that were removed and are there again.
+	// Restored reports that the store was restored from a copy since the previous update.
+	Restored bool
+	// RecheckAt is when the copy must be evaluated again, as a hold ends; zero if there is none.
+	RecheckAt time.Time
+	// Lost are the keys of rows in force that the store does not have, or has with another value
+	// that is held back. Undone are the keys of rows that were removed and that the store has
+	// again.
 	Lost, Undone []string
 }
 
-// Take takes in a copy of the table.
-func (k *Keeper) Take(v watch.View, now time.Time) Result {
+// Update evaluates a copy of the table and returns the rows in force.
+func (k *Reconciler) Update(v watch.View, now time.Time) Result {
 	out := Result{Rows: make(map[string]store.Row, len(v.Rows))}
-	if k.rows != nil && !v.Version.SameEra(k.at) {
-		out.Returned = true
-		k.begin(v, now)
+	if k.rows != nil && !v.Version.SameEra(k.version) {
+		out.Restored = true
+		k.startEra(v, now)
 	}
-	k.at = v.Version
+	k.version = v.Version
 	k.endHolds(v, now)
 	for key, r := range v.Rows {
 		if _, held := k.holds[key]; !held {
 			out.Rows[key] = r
 			continue
 		}
-		if mine, ok := k.rows[key]; ok {
-			out.Rows[key] = mine
+		if current, ok := k.rows[key]; ok {
+			out.Rows[key] = current
 			out.Lost = append(out.Lost, key)
 			continue
 		}
 		out.Undone = append(out.Undone, key)
 	}
-	for key, mine := range k.rows {
+	for key, current := range k.rows {
 		_, stored := v.Rows[key]
 		if _, held := k.holds[key]; held && !stored {
-			out.Rows[key] = mine
+			out.Rows[key] = current
 			out.Lost = append(out.Lost, key)
 		}
 	}
 	k.remember(v.Rows, out.Rows)
-	out.Again = k.next()
+	out.RecheckAt = k.nextExpiry()
 	return out
 }
 
-// begin looks through the first copy of an era.
-func (k *Keeper) begin(v watch.View, now time.Time) {
+// startEra sets the holds from the first copy of an era.
+func (k *Reconciler) startEra(v watch.View, now time.Time) {
 	k.holds = make(map[string]hold)
 	for key, r := range v.Rows {
-		mine, known := k.rows[key]
+		current, known := k.rows[key]
 		switch {
-		case known && string(mine.Value) == string(r.Value):
-		case k.isPast(key, r):
+		case known && string(current.Value) == string(r.Value):
+		case k.inHistory(key, r):
 			k.holds[key] = hold{was: r.Version, found: true, until: now.Add(lostHold)}
 		case known:
 			k.holds[key] = hold{was: r.Version, found: true, until: now.Add(newHold)}
@@ -120,8 +124,9 @@
 	}
 }
 
-// endHolds ends those whose time is over, or whose row has changed since the store's return.
-func (k *Keeper) endHolds(v watch.View, now time.Time) {
+// endHolds ends the holds that have expired, and those of rows that changed after the store came
+// back.
+func (k *Reconciler) endHolds(v watch.View, now time.Time) {
 	for key, h := range k.holds {
 		r, found := v.Rows[key]
 		if h.found != found || h.was != r.Version || !now.Before(h.until) {
@@ -130,34 +135,34 @@
 	}
 }
 
-// remember takes the rows that are in force, and notes those that the store has.
-func (k *Keeper) remember(stored, inForce map[string]store.Row) {
-	if k.past == nil {
-		k.past = make(map[string][]mark)
+// remember stores the rows in force, and adds the rows of the store to the history.
+func (k *Reconciler) remember(stored, inForce map[string]store.Row) {
+	if k.history == nil {
+		k.history = make(map[string][]valueID)
 	}
 	for key, r := range stored {
-		if !k.isPast(key, r) {
-			k.past[key] = append(k.past[key], markOf(r))
+		if !k.inHistory(key, r) {
+			k.history[key] = append(k.history[key], idOf(r))
 		}
-		if over := len(k.past[key]) - maxPast; over > 0 {
-			k.past[key] = append([]mark(nil), k.past[key][over:]...)
+		if over := len(k.history[key]) - maxHistory; over > 0 {
+			k.history[key] = append([]valueID(nil), k.history[key][over:]...)
 		}
 	}
 	k.rows = inForce
-	if len(k.past) <= len(stored)+maxGone {
+	if len(k.history) <= len(stored)+maxRemoved {
 		return
 	}
-	for key := range k.past {
+	for key := range k.history {
 		if _, ok := stored[key]; !ok {
-			delete(k.past, key)
+			delete(k.history, key)
 		}
 	}
 }
 
-// isPast reports whether the store had the row as it is before.
-func (k *Keeper) isPast(key string, r store.Row) bool {
-	m := markOf(r)
-	for _, p := range k.past[key] {
+// inHistory reports whether the store has had this value of the row at an earlier time.
+func (k *Reconciler) inHistory(key string, r store.Row) bool {
+	m := idOf(r)
+	for _, p := range k.history[key] {
 		if p == m {
 			return true
 		}
@@ -165,8 +170,8 @@
 	return false
 }
 
-// next returns when the first hold ends.
-func (k *Keeper) next() time.Time {
+// nextExpiry returns when the first hold ends; zero if there is none.
+func (k *Reconciler) nextExpiry() time.Time {
 	var first time.Time
 	for _, h := range k.holds {
 		if first.IsZero() || h.until.Before(first) {
--- a/internal/restore/table.go
+++ b/internal/restore/table.go
@@ -9,64 +9,64 @@
 	"topazmoor/internal/watch"
 )
 
-// spread is the time over which the nodes write again what the store lost: 338 nodes make 225
-// writes a second with it, of the 400 that the store takes.
-const spread = 1500 * time.Millisecond
+// rewriteSpread is the time over which the nodes distribute the rewriting of lost rows: 338 nodes
+// make 225 writes per second, of the 400 that the store accepts.
+const rewriteSpread = 1500 * time.Millisecond
 
-// Table hands on what is in force of a table that is followed. It is safe for concurrent use.
+// Table passes the rows in force of a followed table to Apply. It is safe for concurrent use.
 type Table struct {
 	Name string
-	// Apply is called with each view of what is in force, one at a time.
+	// Apply is called with each set of rows in force, one call at a time.
 	Apply func(v watch.View, r Result)
-	// Mend, when set, is called at a moment within spread after the store came back while rows
-	// are lost or undone, to write them again.
+	// Mend, if set, is called to write lost and undone rows again: once after each restore of the
+	// store, after a random delay below rewriteSpread, if there are such rows by then.
 	Mend func(r Result)
 	Log  *slog.Logger
 
-	mu     sync.Mutex
-	keeper Keeper
-	// view is the newest copy, again looks at it when holds end.
-	view  watch.View
-	last  Result
-	again *time.Timer
+	mu         sync.Mutex
+	reconciler Reconciler
+	// view is the newest copy. recheckTimer evaluates it again when a hold ends.
+	view         watch.View
+	last         Result
+	recheckTimer *time.Timer
 }
 
-// Take takes in a copy of the table, as watch.Table hands it on.
+// Take evaluates a new copy of the table; it is an Apply function of watch.Table.
 func (t *Table) Take(v watch.View) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.view = v
-	t.take()
+	t.update()
 }
 
-// take looks at the newest copy. The caller holds t.mu.
-func (t *Table) take() {
-	if t.again != nil {
-		t.again.Stop()
+// update evaluates the newest copy. The caller holds t.mu.
+func (t *Table) update() {
+	if t.recheckTimer != nil {
+		t.recheckTimer.Stop()
 	}
-	t.last = t.keeper.Take(t.view, time.Now())
-	if t.last.Returned {
-		t.Log.Warn("the store came back from a copy, what it lost stays in force", "table", t.Name, "row_version", t.view.Version,
-			"lost", len(t.last.Lost), "undone", len(t.last.Undone), "until", t.last.Again)
+	t.last = t.reconciler.Update(t.view, time.Now())
+	if t.last.Restored {
+		t.Log.Warn("the store came back from a copy, lost rows stay in force", "table", t.Name, "row_version", t.view.Version,
+			"lost", len(t.last.Lost), "undone", len(t.last.Undone), "until", t.last.RecheckAt)
 		if t.Mend != nil {
-			time.AfterFunc(rand.N(spread), t.mend)
+			time.AfterFunc(rand.N(rewriteSpread), t.rewrite)
 		}
 	}
-	if !t.last.Again.IsZero() {
-		t.again = time.AfterFunc(time.Until(t.last.Again), t.look)
+	if !t.last.RecheckAt.IsZero() {
+		t.recheckTimer = time.AfterFunc(time.Until(t.last.RecheckAt), t.recheck)
 	}
 	t.Apply(watch.View{Rows: t.last.Rows, Version: t.view.Version, Regained: t.view.Regained}, t.last)
 }
 
-// look looks at the newest copy again, as holds have ended.
-func (t *Table) look() {
+// recheck evaluates the newest copy again after a hold has ended.
+func (t *Table) recheck() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.take()
+	t.update()
 }
 
-// mend has what is lost by now written again.
-func (t *Table) mend() {
+// rewrite calls Mend with the rows that are lost or undone now.
+func (t *Table) rewrite() {
 	t.mu.Lock()
 	last := t.last
 	t.mu.Unlock()
