--- a/internal/sharedrate/limiter.go
+++ b/internal/sharedrate/limiter.go
@@ -26,16 +26,16 @@
 	// Ended reports that the limit has ended, which another node observed at HeardAt.
 	Ended   bool
 	HeardAt time.Time
-	// Owner is the node that was asked; empty if none could be.
-	Owner string
+	// Granter is the name of the node that was asked; empty if none could be.
+	Granter string
 }
 
 // Error implements error.
 func (d *Denied) Error() string {
 	if d.Ended {
-		return "sharedrate: the limit has ended, reported by " + d.Owner
+		return "sharedrate: the limit has ended, reported by " + d.Granter
 	}
-	return fmt.Sprintf("sharedrate: no permit for %v, granter %q", time.Until(d.Opens).Round(time.Millisecond), d.Owner)
+	return fmt.Sprintf("sharedrate: no permit for %v, granter %q", time.Until(d.Opens).Round(time.Millisecond), d.Granter)
 }
 
 // Config configures a Limiter.
@@ -204,11 +204,11 @@
 		if len(asked) == 0 {
 			return
 		}
-		owner, grant, err := l.askGranter(ask)
+		granter, grant, err := l.askGranter(ask)
 		if err != nil {
 			l.cfg.Log.Info("permit request failed at all granters", "key", key, "err", err)
 		}
-		l.distribute(key, q, asked, owner, grant)
+		l.distribute(key, q, asked, granter, grant)
 	}
 }
 
@@ -232,12 +232,12 @@
 
 // distribute gives the available permits to the waiting requests, and denies those requests that
 // the grant was for and that got none.
-func (l *Limiter) distribute(key string, q *queue, asked []*waiter, owner string, grant *Grant) {
+func (l *Limiter) distribute(key string, q *queue, asked []*waiter, granter string, grant *Grant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	l.broker.Granted(key, grant, now)
-	denied := &Denied{Opens: l.broker.Opens(key), Owner: owner}
+	denied := &Denied{Opens: l.broker.Opens(key), Granter: granter}
 	if grant != nil && grant.Ended {
 		denied.Ended, denied.HeardAt = true, now.Add(-grant.Heard)
 	}
@@ -261,7 +261,7 @@
 
 // askGranter asks up to maxGranters nodes for permits, in their order, until one answers; if this
 // node is next, it grants itself. The grant is nil if no node answers.
-func (l *Limiter) askGranter(a Ask) (owner string, g *Grant, err error) {
+func (l *Limiter) askGranter(a Ask) (granter string, g *Grant, err error) {
 	for range maxGranters {
 		l.mu.Lock()
 		n, ok := l.broker.Whom(a.Key, time.Now())
