--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -60,12 +60,12 @@
 	c.Fatal("the batch item was not served")
 }
 
-// TestQueueAgainstSortedList compares the queue with a naive list for one
-// account, where the order is class, then slack, then arrival.
+// TestQueueAgainstSortedList compares the queue with a sorted list for one
+// account, for which the order is class, then Latest, then push.
 func TestQueueAgainstSortedList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue
-		var naive []*Item
+		var reference []*Item
 		t.Repeat(map[string]func(*rapid.T){
 			"push": func(t *rapid.T) {
 				it := &Item{
@@ -74,40 +74,40 @@
 					Latest:  epoch.Add(time.Duration(rapid.IntRange(0, 5).Draw(t, "slack"))),
 				}
 				q.Push(it, epoch)
-				naive = append(naive, it)
-				sort.SliceStable(naive, func(i, j int) bool {
-					if naive[i].Class != naive[j].Class {
-						return naive[i].Class < naive[j].Class
+				reference = append(reference, it)
+				sort.SliceStable(reference, func(i, j int) bool {
+					if reference[i].Class != reference[j].Class {
+						return reference[i].Class < reference[j].Class
 					}
-					return naive[i].Latest.Before(naive[j].Latest)
+					return reference[i].Latest.Before(reference[j].Latest)
 				})
 			},
 			"pop": func(t *rapid.T) {
 				got := q.Pop(epoch, anyItem)
-				if len(naive) == 0 {
+				if len(reference) == 0 {
 					if got != nil {
 						t.Fatal("popped from an empty queue")
 					}
 					return
 				}
-				if got != naive[0] {
-					t.Fatalf("got %+v, want %+v", got, naive[0])
+				if got != reference[0] {
+					t.Fatalf("got %+v, want %+v", got, reference[0])
 				}
-				naive = naive[1:]
+				reference = reference[1:]
 			},
 			"remove": func(t *rapid.T) {
-				if len(naive) == 0 {
+				if len(reference) == 0 {
 					return
 				}
-				i := rapid.IntRange(0, len(naive)-1).Draw(t, "i")
-				if !q.Remove(naive[i]) || q.Remove(naive[i]) {
+				i := rapid.IntRange(0, len(reference)-1).Draw(t, "i")
+				if !q.Remove(reference[i]) || q.Remove(reference[i]) {
 					t.Fatal("remove did not take the item out exactly once")
 				}
-				naive = append(naive[:i], naive[i+1:]...)
+				reference = append(reference[:i], reference[i+1:]...)
 			},
 			"": func(t *rapid.T) {
-				if q.Len() != len(naive) {
-					t.Fatalf("len %d, want %d", q.Len(), len(naive))
+				if q.Len() != len(reference) {
+					t.Fatalf("len %d, want %d", q.Len(), len(reference))
 				}
 			},
 		})
--- a/internal/flow/limit.go
+++ b/internal/flow/limit.go
@@ -5,84 +5,93 @@
 	"time"
 )
 
-// Limit adapts the number of calls in flight at one target to what the target
-// can take: additive increase while calls are quick, multiplicative decrease
-// on a refusal or on latency far above the target's usual one.
+// Limit adapts the number of calls in flight at one target to the capacity of
+// the target: additive increase while the latency is normal, multiplicative
+// decrease on a refusal or on a latency far above the typical one (AIMD). It is
+// not safe for concurrent use.
 type Limit struct {
-	cur     float64
+	current float64
 	ceiling float64
-	usual   time.Duration
-	lastCut time.Time
+	// typicalLatency is the moving average of the latency; 0 before the first sample.
+	typicalLatency time.Duration
+	lastDecrease   time.Time
 }
 
 const (
-	// slowFactor times the usual latency counts as congestion.
+	// A latency above slowFactor times the typical one counts as congestion.
 	slowFactor = 4
-	cutFactor  = 0.7
-	// usualWeight is the weight of a new sample in the usual latency.
-	usualWeight = 0.05
-	minCutPause = 100 * time.Millisecond
+	// decreaseFactor multiplies the limit on a refusal or on congestion.
+	decreaseFactor = 0.7
+	// typicalWeight is the weight of a new sample in the typical latency.
+	typicalWeight = 0.05
+	// minDecreaseInterval is the shortest time between two decreases.
+	minDecreaseInterval = 100 * time.Millisecond
 )
 
-// NewLimit returns a limit that starts at, and never passes, the ceiling.
+// NewLimit returns a limit that starts at the ceiling and never exceeds it. A ceiling
+// below 1 counts as 1.
 func NewLimit(ceiling float64) Limit {
-	return Limit{cur: max(ceiling, 1), ceiling: max(ceiling, 1)}
+	return Limit{current: max(ceiling, 1), ceiling: max(ceiling, 1)}
 }
 
-// SetCeiling changes the upper bound; the limit keeps its relative place.
+// SetCeiling changes the upper bound and scales the limit in proportion, but not
+// below 1.
 func (l *Limit) SetCeiling(c float64) {
 	c = max(c, 1)
-	l.cur = max(1, l.cur*c/l.ceiling)
+	l.current = max(1, l.current*c/l.ceiling)
 	l.ceiling = c
 }
 
 // Calls returns the number of calls allowed in flight, at least 1.
-func (l *Limit) Calls() int { return int(math.Ceil(l.cur - 1e-9)) }
+func (l *Limit) Calls() int { return int(math.Ceil(l.current - 1e-9)) }
 
-// Done notes a finished call and its latency.
+// Done records the latency of a successful call.
 func (l *Limit) Done(latency time.Duration, now time.Time) {
-	if l.usual == 0 {
-		l.usual = latency
+	if l.typicalLatency == 0 {
+		l.typicalLatency = latency
 	}
-	slow := latency > slowFactor*l.usual
-	l.usual += time.Duration(usualWeight * float64(latency-l.usual))
+	slow := latency > slowFactor*l.typicalLatency
+	l.typicalLatency += time.Duration(typicalWeight * float64(latency-l.typicalLatency))
 	if slow {
-		l.cut(now)
+		l.decrease(now)
 		return
 	}
-	l.cur = min(l.ceiling, l.cur+1/l.cur)
+	l.current = min(l.ceiling, l.current+1/l.current)
 }
 
-// Refused notes that the target refused a call.
-func (l *Limit) Refused(now time.Time) { l.cut(now) }
+// Refused records that the target refused a call.
+func (l *Limit) Refused(now time.Time) { l.decrease(now) }
 
-// cut lowers the limit once per pause: the calls in flight at the time of the
-// first cut tell nothing new.
-func (l *Limit) cut(now time.Time) {
-	if now.Sub(l.lastCut) < max(l.usual, minCutPause) {
+// decrease lowers the limit at most once per typical latency or
+// minDecreaseInterval, whichever is longer: calls that were already in flight at
+// the last decrease give no evidence about the lowered limit.
+func (l *Limit) decrease(now time.Time) {
+	if now.Sub(l.lastDecrease) < max(l.typicalLatency, minDecreaseInterval) {
 		return
 	}
-	l.lastCut = now
-	l.cur = max(1, l.cur*cutFactor)
+	l.lastDecrease = now
+	l.current = max(1, l.current*decreaseFactor)
 }
 
 // Budget bounds retries and hedges to a share of the calls, so that a slow
-// stage does not become a storm. It is a token bucket filled by calls.
+// stage does not cause a retry storm. It is a token bucket that first attempts
+// fill. It is not safe for concurrent use.
 type Budget struct {
 	tokens float64
 	ratio  float64
 }
 
-// budgetBurst is how many retries may come at once; a quiet node has them too.
+// budgetBurst is the capacity of the bucket in retries. A new budget is full, so
+// that a node with little traffic can retry too.
 const budgetBurst = 10
 
-// NewBudget returns a full budget that allows ratio retries a call.
+// NewBudget returns a full budget that allows ratio retries per call.
 func NewBudget(ratio float64) Budget { return Budget{tokens: budgetBurst, ratio: ratio} }
 
-// Call notes a first attempt.
+// Call records a first attempt, which adds ratio tokens.
 func (b *Budget) Call() { b.tokens = min(budgetBurst, b.tokens+b.ratio) }
 
-// Take reports whether one retry is allowed and uses it up.
+// Take reports whether one retry is allowed, and if so takes a token for it.
 func (b *Budget) Take() bool {
 	if b.tokens < 1 {
 		return false
@@ -91,16 +100,18 @@
 	return true
 }
 
-// Estimate tracks the service time of one stage: its mean and mean deviation.
+// Estimate tracks the service time of one stage: a moving average of
+// the mean and of the mean deviation. It is not safe for concurrent use.
 type Estimate struct {
 	mean, dev float64
 	known     bool
 }
 
-// estimateWeight is the weight of a new sample, as in RFC 6298.
+// estimateWeight is the weight of a new sample in both averages: the alpha of
+// RFC 6298, which gives the deviation twice as much.
 const estimateWeight = 1.0 / 8
 
-// Add notes a sample.
+// Add adds a sample.
 func (e *Estimate) Add(d time.Duration) {
 	x := float64(d)
 	if !e.known {
@@ -111,8 +122,9 @@
 	e.mean += estimateWeight * (x - e.mean)
 }
 
-// Mean returns the mean service time, 0 while unknown.
+// Mean returns the mean service time, 0 before the first sample.
 func (e *Estimate) Mean() time.Duration { return time.Duration(e.mean) }
 
-// High returns a time that most calls stay under, 0 while unknown.
+// High returns the mean plus three mean deviations, which most service times
+// stay below; 0 before the first sample.
 func (e *Estimate) High() time.Duration { return time.Duration(e.mean + 3*e.dev) }
--- a/internal/flow/queue.go
+++ b/internal/flow/queue.go
@@ -1,6 +1,8 @@
 // Package flow decides the order in which waiting calls are served, how many
-// calls may be in flight, and how many retries are allowed. The decisions are
-// pure; package scheduler applies them. Source: docs/design/005-flow.md.
+// calls may be in flight, and how many retries are allowed. Queue, Limit, Budget
+// and Estimate hold no locks and read no clock: the caller passes the time.
+// RepeatBudgets limits the repeats of all nodes together. Source:
+// docs/design/005-flow.md.
 package flow
 
 import (
@@ -19,9 +21,10 @@
 	Latest time.Time
 	// Enqueued is when the item was added; set by Push.
 	Enqueued time.Time
-	// Cost is the expected service time, charged to the account.
+	// Cost is the expected service time, added to the account's service when the
+	// item is popped.
 	Cost time.Duration
-	// Value is the waiter.
+	// Value belongs to the caller of Push; the queue does not read it.
 	Value any
 
 	index int
@@ -30,17 +33,19 @@
 }
 
 const (
-	// promoteAfter is the waiting time after which an item is served as if of
-	// the next higher class, so that no class starves.
+	// promoteAfter is the waiting time after which an item of a lower class may
+	// be served before all classes, so that no class starves.
 	promoteAfter = 10 * time.Second
-	// fairnessSlack is how much more service than the least served account an
-	// account may have had before its items wait for the others'.
+	// fairnessSlack is how much more service time than the least served account
+	// an account may have received before the items of other accounts go first.
 	fairnessSlack = 500 * time.Millisecond
 )
 
 // Queue orders waiting calls: the higher class first; within a class the
-// least slack first, as long as the account had not more than its fair share
-// of service lately. It is not safe for concurrent use.
+// earliest Latest (the least slack) first, among the accounts that received at
+// most fairnessSlack more service than the least served one. Long waits are
+// promoted; see promoteAfter. The zero Queue is empty. It is not safe for
+// concurrent use.
 type Queue struct {
 	classes [catalog.Classes]classQueue
 	size    int
@@ -50,21 +55,24 @@
 type classQueue struct {
 	accounts map[string]*accountQueue
 	size     int
-	// floor is the service of the least served account when it was last seen;
-	// an account that returns starts from here, not from its old credit.
+	// floor is the highest value that the least service of all accounts had
+	// after a Pop. An account whose first item arrives starts from it, so that
+	// an idle account accumulates no credit.
 	floor time.Duration
 }
 
 type accountQueue struct {
-	name    string
-	items   itemHeap
+	name  string
+	items itemHeap
+	// service is the sum of the costs of the popped items, from the floor on.
 	service time.Duration
 }
 
 // Len returns the number of waiting items.
 func (q *Queue) Len() int { return q.size }
 
-// Ahead returns how many items are served before a new one of this class.
+// Ahead returns the number of waiting items of this class and the higher ones. It
+// is an estimate of the items that are served before a new one.
 func (q *Queue) Ahead(c catalog.Class) int {
 	n := 0
 	for i := range int(c) + 1 {
@@ -73,7 +81,7 @@
 	return n
 }
 
-// Push adds an item at time now.
+// Push adds an item and sets its Enqueued to now.
 func (q *Queue) Push(it *Item, now time.Time) {
 	q.seq++
 	it.seq = q.seq
@@ -93,18 +101,18 @@
 	q.size++
 }
 
-// Remove takes out an item that is no longer wanted. It reports whether the
+// Remove removes an item that is no longer wanted. It reports whether the
 // item was still waiting.
 func (q *Queue) Remove(it *Item) bool {
 	if it.queue == nil {
 		return false
 	}
 	heap.Remove(&it.queue.items, it.index)
-	q.removed(it)
+	q.afterRemoval(it)
 	return true
 }
 
-// Drop takes out and returns all items that unfit reports.
+// Drop removes and returns all items for which unfit returns true.
 func (q *Queue) Drop(unfit func(*Item) bool) []*Item {
 	var out []*Item
 	for c := range q.classes {
@@ -122,7 +130,9 @@
 	return out
 }
 
-func (q *Queue) removed(it *Item) {
+// afterRemoval updates the counts after an item left its heap, and deletes an account
+// without items.
+func (q *Queue) afterRemoval(it *Item) {
 	cq := &q.classes[it.Class]
 	if it.queue.items.Len() == 0 {
 		delete(cq.accounts, it.queue.name)
@@ -132,33 +142,35 @@
 	q.size--
 }
 
-// Pop takes out the item that is served next among those that fit accepts.
+// Pop removes and returns the item that is served next among those that fit accepts.
 // Only the first item of each account is offered to fit. It returns nil when
 // none fits.
 func (q *Queue) Pop(now time.Time, fit func(*Item) bool) *Item {
 	if it := q.promoted(now, fit); it != nil {
-		return q.take(it)
+		return q.serve(it)
 	}
 	for c := range q.classes {
 		if it := q.classes[c].next(fit); it != nil {
-			return q.take(it)
+			return q.serve(it)
 		}
 	}
 	return nil
 }
 
-func (q *Queue) take(it *Item) *Item {
+// serve removes an item that is served and charges its cost to its account.
+func (q *Queue) serve(it *Item) *Item {
 	aq := it.queue
 	cq := &q.classes[it.Class]
 	heap.Remove(&aq.items, it.index)
 	aq.service += it.Cost
 	cq.raiseFloor()
-	q.removed(it)
+	q.afterRemoval(it)
 	return it
 }
 
-// promoted returns an item of a lower class that waited too long, if the
-// class above has none that waited as long.
+// promoted returns the item that waited longest among the first items of all
+// accounts of the classes below the highest, if it waited for promoteAfter and
+// fits. It returns nil at all but one of promoteEvery push counts.
 func (q *Queue) promoted(now time.Time, fit func(*Item) bool) *Item {
 	var oldest *Item
 	for c := 1; c < len(q.classes); c++ {
@@ -178,19 +190,21 @@
 	return oldest
 }
 
-// promoteEvery limits promoted items to one in this many pushes, so that a
-// backlog of a low class does not displace the higher ones.
+// promoteEvery is the divisor of the number of pushes at which items are
+// promoted: only while that number is a multiple of it, so that a backlog of a
+// low class does not displace the higher ones.
 const promoteEvery = 4
 
-// next returns the item with the least slack among the accounts within their
-// fair share, or of the least served account when that one is behind.
+// next returns the item with the earliest Latest among the first items of the
+// accounts that received at most fairnessSlack more service than the least
+// served account. Accounts whose first item does not fit are left out.
 func (cq *classQueue) next(fit func(*Item) bool) *Item {
 	var least *accountQueue
 	for _, aq := range cq.accounts {
 		if !fit(aq.items[0]) {
 			continue
 		}
-		if least == nil || less(aq, least) {
+		if least == nil || lessServed(aq, least) {
 			least = aq
 		}
 	}
@@ -203,20 +217,24 @@
 		if aq.service > least.service+fairnessSlack || !fit(it) {
 			continue
 		}
-		if before(it, best) {
+		if startsBefore(it, best) {
 			best = it
 		}
 	}
 	return best
 }
 
-func less(a, b *accountQueue) bool {
+// lessServed reports whether a received less service than b, or as much and its first
+// item was pushed earlier.
+func lessServed(a, b *accountQueue) bool {
 	if a.service != b.service {
 		return a.service < b.service
 	}
 	return a.items[0].seq < b.items[0].seq
 }
 
+// raiseFloor raises the floor to the least service of the accounts. It never
+// lowers it.
 func (cq *classQueue) raiseFloor() {
 	low := time.Duration(-1)
 	for _, aq := range cq.accounts {
@@ -227,17 +245,20 @@
 	cq.floor = max(cq.floor, low)
 }
 
-func before(a, b *Item) bool {
+// startsBefore reports whether a has the earlier Latest, or the same one and was pushed
+// earlier.
+func startsBefore(a, b *Item) bool {
 	if !a.Latest.Equal(b.Latest) {
 		return a.Latest.Before(b.Latest)
 	}
 	return a.seq < b.seq
 }
 
+// itemHeap is a heap of items, the one with the earliest Latest first.
 type itemHeap []*Item
 
 func (h itemHeap) Len() int           { return len(h) }
-func (h itemHeap) Less(i, j int) bool { return before(h[i], h[j]) }
+func (h itemHeap) Less(i, j int) bool { return startsBefore(h[i], h[j]) }
 func (h itemHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index = i
--- a/internal/flow/repeats_test.go
+++ b/internal/flow/repeats_test.go
@@ -11,12 +11,10 @@
 	_ "topazmoor/internal/standin/fixedseed"
 )
 
-// TestRepeatsOfAllNodesStayInBounds lets many nodes, which come, go and restart,
-// repeat as often as they are let. In no window are there more repeats than the
-// ratio of the requests, of that window or the one before it, and the fixed
-// number. A node may miscount the others by a quarter.
-//
-// It was seen to fail with burstShare at 1.5.
+// TestRepeatsOfAllNodesStayInBounds has nodes, some of which restart, send as many
+// repeats as their budgets allow. No window has more repeats than the fixed number
+// plus ratio times the requests of that window or of the one before it, whichever
+// has more. The nodes' count of nodes may be wrong by a quarter.
 func TestRepeatsOfAllNodesStayInBounds(t *testing.T) {
 	const (
 		ratio  = 0.2
@@ -28,21 +26,21 @@
 		nodes := rapid.IntRange(1, 74).Draw(rt, "nodes")
 		rate := rapid.IntRange(0, 60).Draw(rt, "requests a second")
 		restarts := rapid.SliceOfN(rapid.IntRange(0, nodes-1), 0, 12).Draw(rt, "restarts")
-		error := rapid.IntRange(-nodes/4, nodes/4).Draw(rt, "miscount")
+		miscount := rapid.IntRange(-nodes/4, nodes/4).Draw(rt, "miscount")
 		synctest.Test(t, func(t *testing.T) {
 			budgets := make([]*RepeatBudgets, nodes)
-			fresh := func() *RepeatBudgets {
-				return NewRepeatBudgets(ratio, fixed, window, func() int { return max(nodes+error, 1) }, nil)
+			newBudgets := func() *RepeatBudgets {
+				return NewRepeatBudgets(ratio, fixed, window, func() int { return max(nodes+miscount, 1) }, nil)
 			}
 			for i := range budgets {
-				budgets[i] = fresh()
+				budgets[i] = newBudgets()
 			}
 			const ticks = 600
 			var repeats, requests [ticks]int
 			for now := range ticks {
 				time.Sleep(tick)
 				if now%50 == 0 && now/50 < len(restarts) {
-					budgets[restarts[now/50]] = fresh()
+					budgets[restarts[now/50]] = newBudgets()
 				}
 				for i := range rate {
 					if (now*rate+i)%10 == 0 {
@@ -58,15 +56,15 @@
 			}
 			span := int(window / tick)
 			for end := span; end <= ticks; end++ {
-				sent, asked, before := 0, 0, 0
+				sent, requested, before := 0, 0, 0
 				for i := end - span; i < end; i++ {
 					sent += repeats[i]
-					asked += requests[i]
+					requested += requests[i]
 				}
 				for i := max(end-2*span, 0); i < end-span; i++ {
 					before += requests[i]
 				}
-				if allowed := ratio*float64(max(asked, before)) + fixed; float64(sent) > allowed {
+				if allowed := ratio*float64(max(requested, before)) + fixed; float64(sent) > allowed {
 					t.Fatalf("%d repeats in the window to %d, allowed %.1f", sent, end, allowed)
 				}
 			}
@@ -74,7 +72,7 @@
 	})
 }
 
-// sharedPermits is a rate that all nodes share, as one node grants it.
+// sharedPermits grants permits at a rate that all nodes share.
 type sharedPermits struct {
 	tokens float64
 	at     time.Time
@@ -91,8 +89,8 @@
 	return true
 }
 
-// In a fleet of any size a failure here and there is repeated, and a failure of all requests keeps
-// to the bound: a node's part of it may be less than one repeat.
+// In a fleet of any size occasional failures are repeated, and the repeats stay within the bound
+// when many requests fail, also where a node's part of the fixed number is less than one repeat.
 func TestRepeatsInAFleetOfAnySize(t *testing.T) {
 	const (
 		ratio   = 0.2
@@ -101,7 +99,7 @@
 		seconds = 30
 	)
 	for _, nodes := range []int{10, 100, 400, 985, 2000, 4000} {
-		play := func(failures int) (asked, got int) {
+		run := func(failures int) (requested, got int) {
 			synctest.Test(t, func(t *testing.T) {
 				shared := &sharedPermits{at: time.Now()}
 				budgets := make([]*RepeatBudgets, nodes)
@@ -113,7 +111,7 @@
 					for i := range failures {
 						b := budgets[(second*977+i*331)%nodes]
 						b.Request("s")
-						asked++
+						requested++
 						if b.Take(t.Context(), "s") {
 							got++
 						}
@@ -121,13 +119,13 @@
 					time.Sleep(time.Second)
 				}
 			})
-			return asked, got
+			return requested, got
 		}
-		if asked, got := play(7); got < asked*9/10 {
-			t.Errorf("%d nodes: %d of %d failures are repeated", nodes, got, asked)
+		if requested, got := run(7); got < requested*9/10 {
+			t.Errorf("%d nodes: %d of %d failures are repeated", nodes, got, requested)
 		}
-		if asked, got := play(1000); float64(got) > fixed*seconds/window.Seconds()+ratio*float64(asked) {
-			t.Errorf("%d nodes: %d of %d failures are repeated", nodes, got, asked)
+		if requested, got := run(1000); float64(got) > fixed*seconds/window.Seconds()+ratio*float64(requested) {
+			t.Errorf("%d nodes: %d of %d failures are repeated", nodes, got, requested)
 		}
 	}
 }
