--- a/internal/scheduler/acquire.go
+++ b/internal/scheduler/acquire.go
@@ -10,16 +10,18 @@
 	"topazmoor/internal/verdict"
 )
 
-// pumpInterval is how often a queue is looked at while all its targets are
-// set aside.
-const pumpInterval = 100 * time.Millisecond
+// recheckInterval is the time between checks of a queue of waiting calls whose
+// targets may become available without any call ending.
+const recheckInterval = 100 * time.Millisecond
 
-// Acquire waits for a target. The error is a *verdict.Error with NotRun.
+// Acquire waits until the call gets a target. It returns an error when ctx ends, at
+// c.Latest, or when the pool cannot serve the call; the error is a *verdict.Error
+// with NotRun.
 func (s *Scheduler) Acquire(ctx context.Context, c Call) (*Lease, error) {
 	w := &waiter{call: c, done: make(chan grant, 1)}
 	s.mu.Lock()
 	p := s.pool(c.Pool)
-	if err := p.refuse(s.cfg.QueueLimit, &c); err != nil {
+	if err := p.checkAdmission(s.cfg.QueueLimit, &c); err != nil {
 		s.mu.Unlock()
 		return nil, err
 	}
@@ -28,17 +30,19 @@
 	}
 	cost := s.mean(c.Stage)
 	if cost == 0 {
-		cost = unknownService
+		cost = defaultServiceTime
 	}
 	it := &flow.Item{Class: c.Class, Account: c.Account, Latest: c.Latest, Cost: cost, Value: w}
 	p.queue.Push(it, time.Now())
 	p.demand[c.Model]++
-	s.pump(p)
+	s.grantWaiting(p)
 	s.mu.Unlock()
-	return s.wait(ctx, p, it, w)
+	return s.awaitGrant(ctx, p, it, w)
 }
 
-func (s *Scheduler) wait(ctx context.Context, p *pool, it *flow.Item, w *waiter) (*Lease, error) {
+// awaitGrant waits for the grant of a queued call, and removes the call from the queue
+// when ctx ends or at it.Latest.
+func (s *Scheduler) awaitGrant(ctx context.Context, p *pool, it *flow.Item, w *waiter) (*Lease, error) {
 	select {
 	case g := <-w.done:
 		return g.lease, g.err
@@ -59,11 +63,11 @@
 	s.mu.Lock()
 	removed := p.queue.Remove(it)
 	if removed {
-		p.left(w.call.Model)
+		p.callEnded(w.call.Model)
 	}
 	s.mu.Unlock()
 	if !removed {
-		// Settled in the same moment: a slot is given back.
+		// The call left the queue at the same time: a granted slot is returned.
 		if g := <-w.done; g.lease != nil {
 			g.lease.Release(Abandoned)
 		}
@@ -71,16 +75,16 @@
 	return nil, err
 }
 
-// retryAfter is when the queue as it stands will have been served.
+// retryAfter estimates how long serving the current queue takes, at least a second.
 func (s *Scheduler) retryAfter(p *pool, class catalog.Class) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return max(p.wait(class, unknownService), time.Second)
+	return max(p.queueWait(class, defaultServiceTime), time.Second)
 }
 
-// pump grants targets to waiting calls while some fit. It is called with the
-// lock held.
-func (s *Scheduler) pump(p *pool) {
+// grantWaiting grants targets to waiting calls until no call fits a target. The
+// caller holds the lock.
+func (s *Scheduler) grantWaiting(p *pool) {
 	now := time.Now()
 	p.refresh(now)
 	fits := func(it *flow.Item) bool { return s.pick(p, &it.Value.(*waiter).call) >= 0 }
@@ -92,52 +96,55 @@
 		w := it.Value.(*waiter)
 		w.done <- grant{lease: s.grant(p, s.pick(p, &w.call), &w.call, now)}
 	}
-	s.arm(p)
+	s.scheduleRecheck(p)
 }
 
-// arm schedules another look at a queue whose targets may come back without
-// any call ending.
-func (s *Scheduler) arm(p *pool) {
+// scheduleRecheck schedules a check of a queue that is not empty, because targets may
+// become available without any call ending.
+func (s *Scheduler) scheduleRecheck(p *pool) {
 	if p.queue.Len() == 0 || p.timer != nil {
 		return
 	}
-	p.timer = time.AfterFunc(pumpInterval, func() {
+	p.timer = time.AfterFunc(recheckInterval, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		p.timer = nil
-		s.pump(p)
+		s.grantWaiting(p)
 	})
 }
 
+// pick returns the index of the target for a call, or -1 if none is available now.
+// Excluded targets are used only if no other target can serve the call, now or later.
 func (s *Scheduler) pick(p *pool, c *Call) int {
 	q := routing.Query{
 		Model: c.Model, Adapter: c.Adapter, DataCentre: s.cfg.DataCentre,
-		Prefix: c.Prefix, Exclude: c.Exclude, Reach: reach[c.Class],
+		Prefix: c.Prefix, Exclude: c.Exclude, Reach: limitFactor[c.Class],
 		RemoteCost: s.cfg.RemoteCost, PrefixGain: s.cfg.PrefixGain,
 	}
-	if i := routing.Pick(&q, p.cands, s.rng); i >= 0 || len(c.Exclude) == 0 {
+	if i := routing.Pick(&q, p.candidates, s.rng); i >= 0 || len(c.Exclude) == 0 {
 		return i
 	}
-	if p.othersLeft(&q) {
+	if p.othersCanServe(&q) {
 		return -1
 	}
 	q.Exclude = nil
-	return routing.Pick(&q, p.cands, s.rng)
+	return routing.Pick(&q, p.candidates, s.rng)
 }
 
+// grant starts a call at target i of the pool.
 func (s *Scheduler) grant(p *pool, i int, c *Call, now time.Time) *Lease {
 	t := p.targets[i]
-	t.sent++
+	t.inFlight++
 	t.breaker.Start()
 	t.ready.Begin(now)
-	p.cands[i].Sent = t.sent
-	p.cands[i].Down = t.down(now)
-	return &Lease{Target: p.cands[i].Target, s: s, p: p, t: t, stage: c.Stage, model: c.Model, start: now}
+	p.candidates[i].Sent = t.inFlight
+	p.candidates[i].Down = t.down(now)
+	return &Lease{Target: p.candidates[i].Target, s: s, p: p, t: t, stage: c.Stage, model: c.Model, start: now}
 }
 
-// reach is how far the calls of each class may fill a target, as a multiple of
-// its slots; see docs/design/005-flow.md.
-var reach = [catalog.Classes]float64{catalog.Urgent: 2, catalog.Standard: 1, catalog.Batch: 0.75}
+// limitFactor multiplies, by class, the limit on this node's calls in flight at a
+// target; see docs/design/005-flow.md.
+var limitFactor = [catalog.Classes]float64{catalog.Urgent: 2, catalog.Standard: 1, catalog.Batch: 0.75}
 
 // waiter is a call in the queue of a pool.
 type waiter struct {
@@ -145,7 +152,7 @@
 	done chan grant
 }
 
-// grant ends the wait of a call: a target, or the refusal.
+// grant is the result of waiting: a lease or an error.
 type grant struct {
 	lease *Lease
 	err   error
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -6,7 +6,7 @@
 	"topazmoor/internal/catalog"
 )
 
-// Demand returns the number of calls in flight or waiting of each pool.
+// Demand returns the number of waiting and running calls of this node, by pool.
 func (s *Scheduler) Demand() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -14,14 +14,14 @@
 	for name, p := range s.pools {
 		n := p.queue.Len()
 		for _, t := range p.targets {
-			n += t.sent
+			n += t.inFlight
 		}
 		out[name] = n
 	}
 	return out
 }
 
-// ModelDemand is the number of calls of a model that wait or run.
+// ModelDemand is the number of waiting and running calls of a model in a pool.
 type ModelDemand struct {
 	Pool, Model string
 	Calls       int
@@ -40,16 +40,17 @@
 	return out
 }
 
-// Report notes a target's load report: its calls in flight and waiting, taken
-// when this node had sentAt calls there.
+// Report records a target's load report: calls is the number of its running and
+// waiting calls, and sentAt the number of this node's calls in flight there when the
+// report was taken.
 func (s *Scheduler) Report(poolName, id string, calls, sentAt int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.pool(poolName)
-	for i := range p.cands {
-		if p.cands[i].ID == id {
-			p.cands[i].Reported = calls
-			p.cands[i].SentAtReport = sentAt
+	for i := range p.candidates {
+		if p.candidates[i].ID == id {
+			p.candidates[i].Reported = calls
+			p.candidates[i].SentAtReport = sentAt
 		}
 	}
 }
@@ -60,13 +61,13 @@
 	defer s.mu.Unlock()
 	for _, t := range s.pool(poolName).targets {
 		if t.id == id {
-			return t.sent
+			return t.inFlight
 		}
 	}
 	return 0
 }
 
-// TargetRef names a target.
+// TargetRef identifies a target.
 type TargetRef struct{ Pool, ID, Addr string }
 
 // Targets returns all targets.
@@ -75,15 +76,15 @@
 	defer s.mu.Unlock()
 	var out []TargetRef
 	for name, p := range s.pools {
-		for i := range p.cands {
-			out = append(out, TargetRef{Pool: name, ID: p.cands[i].ID, Addr: p.cands[i].Addr})
+		for i := range p.candidates {
+			out = append(out, TargetRef{Pool: name, ID: p.candidates[i].ID, Addr: p.candidates[i].Addr})
 		}
 	}
 	return out
 }
 
-// Estimate returns the mean and the high service time of a stage; both are 0
-// while unknown.
+// Estimate returns the mean service time of a stage and one that most calls stay
+// below; both are 0 before the first sample.
 func (s *Scheduler) Estimate(stage string) (mean, high time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,20 +101,23 @@
 	Pool, Stage string
 }
 
-// Remaining estimates the time that the stages need from now on: for each the
-// wait in its queue and the mean service time.
-func (s *Scheduler) Remaining(stages []StageDemand, class catalog.Class) (total, wait time.Duration) {
+// Remaining estimates the time that the stages need from now on: for each stage the
+// wait in its pool's queue plus the mean service time, 0 before the first sample.
+// queueWait is the part of total that is spent in queues.
+func (s *Scheduler) Remaining(stages []StageDemand, class catalog.Class) (total, queueWait time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, d := range stages {
 		mean := s.mean(d.Stage)
-		w := s.pool(d.Pool).wait(class, mean)
-		wait += w
+		w := s.pool(d.Pool).queueWait(class, mean)
+		queueWait += w
 		total += w + mean
 	}
-	return total, wait
+	return total, queueWait
 }
 
+// mean returns the mean service time of a stage, 0 before the first sample. The
+// caller holds the lock.
 func (s *Scheduler) mean(stage string) time.Duration {
 	if e := s.stages[stage]; e != nil {
 		return e.Mean()
--- a/internal/scheduler/lease.go
+++ b/internal/scheduler/lease.go
@@ -9,9 +9,9 @@
 	"topazmoor/internal/routing"
 )
 
-// Lease is the right to make one call at a target.
+// Lease grants one call at a target, until Release.
 type Lease struct {
-	// Target is where the call goes.
+	// Target receives the call.
 	Target routing.Target
 
 	s     *Scheduler
@@ -23,15 +23,15 @@
 	once  sync.Once
 }
 
-// Heard takes in what the target said of whether it takes work when it turned the call away.
+// Heard records the readiness notice that the target sent when it refused the call.
 func (l *Lease) Heard(n readiness.Notice) {
 	l.s.mu.Lock()
 	defer l.s.mu.Unlock()
 	l.t.ready.Hear(n, true, time.Now())
 }
 
-// Release gives the slot back and notes how the call ended. Only the first
-// Release counts.
+// Release returns the slot and records how the call ended. Only the first Release
+// has an effect.
 func (l *Lease) Release(o Outcome) {
 	l.once.Do(func() { l.release(o) })
 }
@@ -42,8 +42,8 @@
 	l.s.mu.Lock()
 	defer l.s.mu.Unlock()
 	t := l.t
-	t.sent--
-	l.p.left(l.model)
+	t.inFlight--
+	l.p.callEnded(l.model)
 	if o == Succeeded {
 		t.ready.Took(l.start)
 	}
@@ -53,7 +53,7 @@
 		t.breaker.Success()
 		t.limit.Done(took, now)
 		t.service.Add(took)
-		l.s.observe(l.stage, took)
+		l.s.observeStage(l.stage, took)
 	case Refused:
 		t.breaker.Abandon()
 		t.limit.Refused(now)
@@ -64,10 +64,12 @@
 	case Abandoned:
 		t.breaker.Abandon()
 	}
-	l.s.pump(l.p)
+	l.s.grantWaiting(l.p)
 }
 
-func (s *Scheduler) observe(stage string, took time.Duration) {
+// observeStage adds a service time to the estimate of a stage. The caller holds the
+// lock.
+func (s *Scheduler) observeStage(stage string, took time.Duration) {
 	e := s.stages[stage]
 	if e == nil {
 		e = &flow.Estimate{}
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -13,51 +13,58 @@
 	"topazmoor/internal/verdict"
 )
 
-// pool is the live state of the targets of one pool and the calls that wait for
-// them. It is guarded by the scheduler's lock.
+// pool holds the live state of the targets of one pool and the calls that wait
+// for them. It is guarded by the scheduler's lock.
 type pool struct {
 	name    string
 	targets []*target
-	// cands mirrors targets for routing.Pick.
-	cands  []routing.Candidate
-	queue  flow.Queue
-	budget flow.Budget
-	// demand counts the calls that wait or run, by model.
+	// candidates has one entry per target, in the order of targets, for
+	// routing.Pick.
+	candidates []routing.Candidate
+	queue      flow.Queue
+	budget     flow.Budget
+	// demand counts the waiting and running calls by model.
 	demand map[string]int
-	timer  *time.Timer
+	// timer rechecks the queue; nil while none is scheduled.
+	timer *time.Timer
 }
 
+// target is the live state of one target.
 type target struct {
 	id      string
 	limit   flow.Limit
 	service flow.Estimate
 	breaker routing.Breaker
-	// ready is what the target said of whether it takes work.
+	// ready is whether the target accepts calls, by its own notices.
 	ready readiness.State
-	sent  int
+	// inFlight is the number of this node's calls in flight at the target.
+	inFlight int
+	// slots is the number of calls that the target runs at once.
 	slots int
 }
 
-// left notes that a call of a model ended or gave up.
-func (p *pool) left(model string) {
+// callEnded removes a call of a model from the demand, when it ended or stopped
+// waiting.
+func (p *pool) callEnded(model string) {
 	p.demand[model]--
 	if p.demand[model] == 0 {
 		delete(p.demand, model)
 	}
 }
 
-// set replaces the targets of a pool, keeping the state of those that stay.
-func (p *pool) set(hosts []store.Host, drained func(string) bool, share float64) {
-	known := make(map[string]*target, len(p.targets))
+// setHosts replaces the targets of a pool and keeps the state of those that stay.
+// share is the part of each target's slots that this node may use.
+func (p *pool) setHosts(hosts []store.Host, drained func(string) bool, share float64) {
+	existing := make(map[string]*target, len(p.targets))
 	loads := make(map[string]routing.Load, len(p.targets))
 	for i, t := range p.targets {
-		known[t.id] = t
-		loads[t.id] = p.cands[i].Load
+		existing[t.id] = t
+		loads[t.id] = p.candidates[i].Load
 	}
 	p.targets = p.targets[:0:0]
-	p.cands = p.cands[:0:0]
+	p.candidates = p.candidates[:0:0]
 	for _, h := range hosts {
-		t := known[h.ID]
+		t := existing[h.ID]
 		if t == nil {
 			t = &target{id: h.ID, slots: h.Slots, limit: flow.NewLimit(float64(h.Slots) * share)}
 		}
@@ -68,7 +75,7 @@
 		load := loads[h.ID]
 		load.Leaving = h.State != store.Live || drained(h.ID)
 		p.targets = append(p.targets, t)
-		p.cands = append(p.cands, routing.Candidate{Target: targetOf(h), Load: load})
+		p.candidates = append(p.candidates, routing.Candidate{Target: targetOf(h), Load: load})
 	}
 }
 
@@ -83,36 +90,40 @@
 // refresh copies the state of the targets into the candidates.
 func (p *pool) refresh(now time.Time) {
 	for i, t := range p.targets {
-		c := &p.cands[i]
-		c.Sent = t.sent
+		c := &p.candidates[i]
+		c.Sent = t.inFlight
 		c.Limit = t.limit.Calls()
 		c.Down = t.down(now)
 		c.Service = t.service.Mean()
 		if c.Service == 0 {
-			c.Service = unknownService
+			c.Service = defaultServiceTime
 		}
 	}
 }
 
-// down reports whether a target gets no call now: it fails, or asked for rest.
+// down reports whether a target gets no call now, because its breaker is open, it
+// requested a pause, or the trial call after that pause is in flight.
 func (t *target) down(now time.Time) bool {
 	return t.breaker.Down(now) || t.ready.Standing(now) == readiness.Resting
 }
 
+// anyFree reports whether any target is available for a call of the urgent class,
+// which has the highest limit.
 func (p *pool) anyFree() bool {
-	for i := range p.cands {
-		c := &p.cands[i]
-		if routing.Filter(&routing.Query{Reach: reach[catalog.Urgent]}, c) == routing.Eligible {
+	for i := range p.candidates {
+		c := &p.candidates[i]
+		if routing.Filter(&routing.Query{Reach: limitFactor[catalog.Urgent]}, c) == routing.Eligible {
 			return true
 		}
 	}
 	return false
 }
 
-// othersLeft reports whether a target outside q.Exclude can serve q later.
-func (p *pool) othersLeft(q *routing.Query) bool {
-	for i := range p.cands {
-		switch routing.Filter(q, &p.cands[i]) {
+// othersCanServe reports whether a target outside q.Exclude can serve q now or when
+// its load falls below the limit.
+func (p *pool) othersCanServe(q *routing.Query) bool {
+	for i := range p.candidates {
+		switch routing.Filter(q, &p.candidates[i]) {
 		case routing.Eligible, routing.AtLimit:
 			return true
 		}
@@ -120,8 +131,9 @@
 	return false
 }
 
-// refuse returns the refusal of a call that cannot be queued, or nil.
-func (p *pool) refuse(limit int, c *Call) error {
+// checkAdmission returns an error if the call cannot be queued: limit calls wait
+// already, or no target serves the call.
+func (p *pool) checkAdmission(limit int, c *Call) error {
 	if p.queue.Len() >= limit {
 		return verdict.New(verdict.NotRun, verdict.Overloaded, "pool %s has %d calls waiting", p.name, limit).
 			After(time.Second).At(c.Stage, "")
@@ -129,21 +141,22 @@
 	if p.serves(c) {
 		return nil
 	}
-	return noTarget(p.name, c)
+	return noTargetError(p.name, c)
 }
 
-func noTarget(pool string, c *Call) error {
+// noTargetError is the error of a call that no target of the pool serves.
+func noTargetError(pool string, c *Call) error {
 	return verdict.New(verdict.NotRun, verdict.NoTarget,
 		"no target of pool %s serves model %q with adapter %q", pool, c.Model, c.Adapter).
 		After(2*time.Second).At(c.Stage, "")
 }
 
-// serves reports whether any target may serve the call, now or when it is free
-// or up again.
+// serves reports whether any target has the call's model and adapter and is not
+// leaving. It may be busy or down.
 func (p *pool) serves(c *Call) bool {
 	q := routing.Query{Model: c.Model, Adapter: c.Adapter}
-	for i := range p.cands {
-		switch routing.Filter(&q, &p.cands[i]) {
+	for i := range p.candidates {
+		switch routing.Filter(&q, &p.candidates[i]) {
 		case routing.WrongModel, routing.IsLeaving:
 		default:
 			return true
@@ -152,24 +165,25 @@
 	return false
 }
 
-// refuseUnserved ends the wait of calls whose last target left: their answer is
-// final, so it is not held back until their deadline.
+// refuseUnserved refuses the waiting calls that no target serves any more, at once
+// and not at their deadline.
 func (p *pool) refuseUnserved() {
 	unserved := func(it *flow.Item) bool { return !p.serves(&it.Value.(*waiter).call) }
 	for _, it := range p.queue.Drop(unserved) {
 		w := it.Value.(*waiter)
-		p.left(w.call.Model)
-		w.done <- grant{err: noTarget(p.name, &w.call)}
+		p.callEnded(w.call.Model)
+		w.done <- grant{err: noTargetError(p.name, &w.call)}
 	}
 }
 
-// wait estimates how long a new call of this class waits in the queue.
-func (p *pool) wait(class catalog.Class, mean time.Duration) time.Duration {
+// queueWait estimates how long a new call of this class waits in the queue, by the
+// mean service time of a call.
+func (p *pool) queueWait(class catalog.Class, mean time.Duration) time.Duration {
 	capacity, busy := 0, 0
-	for i := range p.cands {
-		if !p.cands[i].Leaving && !p.cands[i].Down {
-			capacity += p.cands[i].Limit
-			busy += min(p.targets[i].sent, p.cands[i].Limit)
+	for i := range p.candidates {
+		if !p.candidates[i].Leaving && !p.candidates[i].Down {
+			capacity += p.candidates[i].Limit
+			busy += min(p.targets[i].inFlight, p.candidates[i].Limit)
 		}
 	}
 	ahead := p.queue.Ahead(class)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,6 +1,6 @@
 // Package scheduler applies the decisions of flow and routing to the calls of
-// one node: it queues calls by pool, grants each a target, and keeps the live
-// state of the targets that the decisions read.
+// one node: it queues calls per pool, grants each call a target, and keeps the
+// live state of the targets that the decisions read.
 package scheduler
 
 import (
@@ -13,19 +13,19 @@
 	"topazmoor/internal/store"
 )
 
-// Config is what a Scheduler is built from.
+// Config configures a Scheduler.
 type Config struct {
-	// DataCentre is where the node stands.
+	// DataCentre is the data centre of the node.
 	DataCentre string
-	// RemoteCost is what a call to another data centre costs more.
+	// RemoteCost is the time that a call to another data centre takes longer.
 	RemoteCost time.Duration
 	// PrefixGain is the time that a cached prompt prefix saves.
 	PrefixGain time.Duration
-	// QueueLimit is the most waiting calls of a pool.
+	// QueueLimit is the maximum number of waiting calls per pool.
 	QueueLimit int
-	// RetryRatio is the share of calls that may be retried or hedged.
+	// RetryRatio is the number of retries and hedges allowed per call.
 	RetryRatio float64
-	// Seed seeds the random choice between equal targets.
+	// Seed seeds the random choice between targets with equal scores.
 	Seed uint64
 }
 
@@ -46,31 +46,32 @@
 	Pool, Model, Adapter string
 	Account              string
 	Class                catalog.Class
-	// Stage is the key of the stage's service-time estimate.
+	// Stage is the key under which the stage's service time is estimated.
 	Stage string
 	// Latest is the latest start at which the request can still finish.
 	Latest time.Time
 	// Prefix is the hash of the prompt's prefix; 0 for none.
 	Prefix uint64
-	// Exclude lists targets that failed this request; they are used again
-	// only when no other target is left.
+	// Exclude lists the IDs of targets that this request was sent to already; they
+	// are used again only when no other target can serve the call.
 	Exclude []string
 }
 
-// Outcome says how a granted call ended, for the target's live state.
+// Outcome is how a granted call ended. It updates the target's live state.
 type Outcome uint8
 
 // The outcomes of a call.
 const (
 	// Succeeded: the target answered.
 	Succeeded Outcome = iota
-	// Refused: the target stated that it did not start the call.
+	// Refused: the target answered that it did not start the call.
 	Refused
-	// Failed: the target broke the call or timed out.
+	// Failed: the target failed during the call or timed out.
 	Failed
 	// Unreachable: the target refused the connection.
 	Unreachable
-	// Abandoned: the caller left or another attempt won.
+	// Abandoned: the call was cancelled, because the caller disconnected or another
+	// attempt succeeded.
 	Abandoned
 )
 
@@ -87,8 +88,8 @@
 	share float64
 }
 
-// unknownService is the service time assumed before the first sample.
-const unknownService = 50 * time.Millisecond
+// defaultServiceTime is the service time assumed before the first sample.
+const defaultServiceTime = 50 * time.Millisecond
 
 // New returns a Scheduler without targets.
 func New(cfg Config) *Scheduler {
@@ -102,7 +103,9 @@
 }
 
 // SetHosts replaces the targets. The live state of hosts that stay is kept. A
-// host is leaving when the host list says so or drained reports it.
+// host is leaving when its state in the host list is not live, or when drained
+// returns true for its ID. Waiting calls that no target serves any more are
+// refused.
 func (s *Scheduler) SetHosts(hosts []store.Host, drained func(id string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,21 +115,21 @@
 	}
 	for name, p := range s.pools {
 		if byPool[name] == nil {
-			p.set(nil, drained, s.share)
+			p.setHosts(nil, drained, s.share)
 			p.refuseUnserved()
 		}
 	}
 	for name, list := range byPool {
 		p := s.pool(name)
-		p.set(list, drained, s.share)
+		p.setHosts(list, drained, s.share)
 		p.refuseUnserved()
-		s.pump(p)
+		s.grantWaiting(p)
 	}
 }
 
-// SetNodes tells how many nodes share the targets. Each may use an even share
-// of the slots, and what the load reports show to be idle; see
-// docs/design/005-flow.md.
+// SetNodes sets the number of nodes that share the targets. Each node may use an
+// equal share of the slots, and beyond it the slots that are idle by the load
+// reports; see docs/design/005-flow.md.
 func (s *Scheduler) SetNodes(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,18 +142,20 @@
 		for _, t := range p.targets {
 			t.limit.SetCeiling(float64(t.slots) * share)
 		}
-		s.pump(p)
+		s.grantWaiting(p)
 	}
 }
 
 // Retry reports whether the retry budget of a pool allows one more attempt,
-// and uses it up.
+// and if so uses up one retry.
 func (s *Scheduler) Retry(poolName string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.pool(poolName).budget.Take()
 }
 
+// pool returns the pool of that name and creates it if needed. The caller holds
+// the lock.
 func (s *Scheduler) pool(name string) *pool {
 	p := s.pools[name]
 	if p == nil {
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -97,8 +97,8 @@
 	})
 }
 
-// TestDrainRefusesWaitingCallsAtOnce: when the last target leaves, calls that
-// wait for it get their final answer then, not at their deadline.
+// TestDrainRefusesWaitingCallsAtOnce: when the last target leaves, the calls that
+// wait for it are refused at once, not at their deadline.
 func TestDrainRefusesWaitingCallsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -177,7 +177,8 @@
 	})
 }
 
-// A target that turned a call away and asked for rest gets none until then, and one first.
+// A target that refused a call and requested a pause gets no call until the pause ends, and then
+// one call at a time until one succeeds.
 func TestTargetAtRestGetsNoCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
