--- a/internal/routing/breaker.go
+++ b/internal/routing/breaker.go
@@ -3,15 +3,17 @@
 import "time"
 
 const (
-	// breakerFailures in a row open the breaker.
+	// breakerFailures is the number of consecutive failures that open the breaker.
 	breakerFailures = 3
-	// breakerPause is the first pause; it doubles up to breakerMaxPause.
+	// breakerPause is the time from opening until the first probe. It doubles with each
+	// failed probe, up to breakerMaxPause.
 	breakerPause    = time.Second
 	breakerMaxPause = 30 * time.Second
 )
 
-// Breaker sets a failing target aside and lets one probe through at a time
-// until it succeeds. The zero Breaker is closed.
+// Breaker is the circuit breaker of a target: it opens after consecutive failures,
+// and after a pause allows one probe at a time until one succeeds. The zero Breaker
+// is closed. It is not safe for concurrent use.
 type Breaker struct {
 	failures int
 	pause    time.Duration
@@ -19,7 +21,8 @@
 	probing  bool
 }
 
-// Down reports whether the target gets no call at now.
+// Down reports whether the target gets no call at now: the breaker is open, and its
+// pause has not ended or a probe is in flight.
 func (b *Breaker) Down(now time.Time) bool {
 	if b.failures < breakerFailures {
 		return false
@@ -27,7 +30,7 @@
 	return b.probing || now.Before(b.until)
 }
 
-// Start notes that a call was sent; in an open breaker that call is the probe.
+// Start records that a call was sent. If the breaker is open, the call is the probe.
 func (b *Breaker) Start() {
 	if b.failures >= breakerFailures {
 		b.probing = true
@@ -37,18 +40,19 @@
 // Success closes the breaker.
 func (b *Breaker) Success() { *b = Breaker{} }
 
-// Abandon notes a call that ended without evidence for or against the target,
-// such as one that the caller cancelled.
+// Abandon records a call whose end gives no evidence about the target, such as one
+// that the caller cancelled.
 func (b *Breaker) Abandon() { b.probing = false }
 
-// Unreachable notes that the target refused the connection: strong evidence,
-// which opens the breaker at once.
+// Unreachable records that the target refused the connection, and opens the breaker
+// at once.
 func (b *Breaker) Unreachable(now time.Time) {
 	b.failures = max(b.failures, breakerFailures-1)
 	b.Failure(now)
 }
 
-// Failure notes a failed call and opens the breaker after three in a row.
+// Failure records a failed call. It opens the breaker after breakerFailures
+// consecutive ones.
 func (b *Breaker) Failure(now time.Time) {
 	b.failures++
 	b.probing = false
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,6 +1,7 @@
-// Package routing decides which target gets one call of a stage: filter, then
-// score, then pick. The decisions are pure; package scheduler holds the state
-// that they read. Source: docs/design/004-routing.md.
+// Package routing selects the target of one call of a stage: it filters the
+// candidates, scores those that are left and picks the best. It keeps no state but
+// that of a Breaker; package scheduler holds the load that the selection reads.
+// Source: docs/design/004-routing.md.
 package routing
 
 import (
@@ -9,39 +10,40 @@
 	"time"
 )
 
-// Target is what is known of a target host. It is immutable.
+// Target describes a target host by the host list. It is immutable.
 type Target struct {
 	// ID is the host's ID in the host list; Addr is IP:port.
 	ID, Addr   string
 	DataCentre string
-	// Models and Adapters are loaded; empty lists mean that the target serves
-	// calls of any model.
+	// Models and Adapters are those that the target has loaded. An empty list
+	// matches any model or adapter.
 	Models, Adapters []string
-	// Slots is how many calls the target works on at once.
+	// Slots is the number of calls that the target runs at once.
 	Slots int
 	// Hash identifies the target in rendezvous hashing.
 	Hash uint64
 }
 
-// Load is the live state of a target as one node sees it.
+// Load is the live state of a target as one node observes it.
 type Load struct {
-	// Sent is the number of this node's calls in flight there.
+	// Sent is the number of this node's calls in flight at the target.
 	Sent int
-	// Reported is the number of calls, waiting ones included, of the last load
-	// report, and SentAtReport the value of Sent when the report was taken.
+	// Reported is the number of running and waiting calls in the target's last
+	// load report, and SentAtReport the value of Sent when the report was taken.
 	Reported, SentAtReport int
-	// Limit is how many calls this node may have in flight there.
+	// Limit is the number of calls that this node may have in flight at the target.
 	Limit int
-	// Service is the recent time of one call.
+	// Service is the mean service time of the recent calls.
 	Service time.Duration
-	// Leaving targets get no new work.
+	// Leaving is whether the target is being removed; it gets no new calls.
 	Leaving bool
-	// Down targets are set aside after failures; see Breaker.
+	// Down is whether the target gets no calls for now; see Breaker.
 	Down bool
 }
 
-// InFlight estimates all calls at the target: the last report, corrected by
-// what this node sent and got back since. It is never below Sent.
+// InFlight estimates the number of calls at the target: that of the last report,
+// corrected by the calls that this node sent and finished since. It is never below
+// Sent.
 func (l *Load) InFlight() int {
 	return max(l.Sent, l.Reported+l.Sent-l.SentAtReport)
 }
@@ -55,26 +57,28 @@
 // Query describes one call.
 type Query struct {
 	Model, Adapter string
-	// DataCentre is where the calling node stands.
+	// DataCentre is the data centre of the calling node.
 	DataCentre string
 	// Prefix is the hash of the prompt's prefix; 0 for no affinity.
 	Prefix uint64
-	// Reach multiplies the limit of a target for this call. A higher class
-	// reaches further, so that it never waits for what lower classes of the same
-	// node hold. 0 counts as 1.
+	// Reach multiplies the limit of a target for this call. A higher class has a
+	// higher factor, so that it does not wait for slots that lower classes of the
+	// same node use. 0 counts as 1.
 	Reach float64
-	// Exclude lists target IDs that failed this request already.
+	// Exclude lists the IDs of targets that this call is not sent to.
 	Exclude []string
-	// RemoteCost is what a call to another data centre costs more.
+	// RemoteCost is the time that a call to another data centre takes longer.
 	RemoteCost time.Duration
-	// PrefixGain is the time saved where the prefix is cached.
+	// PrefixGain is the time that a call saves at a target that has the prefix
+	// cached.
 	PrefixGain time.Duration
 }
 
-// Reason is why a candidate was filtered out.
+// Reason is why Filter rejected a candidate.
 type Reason uint8
 
-// The reasons of Filter, from the most lasting to the most passing.
+// The results of Filter. After Eligible the reasons are in the order in which they
+// are checked, from the most permanent to the most transient.
 const (
 	Eligible Reason = iota
 	WrongModel
@@ -84,7 +88,8 @@
 	AtLimit
 )
 
-// Filter reports whether c may serve q now, and if not why.
+// Filter returns Eligible if c may serve q now, and otherwise the first reason
+// against it.
 func Filter(q *Query, c *Candidate) Reason {
 	switch {
 	case !serves(c.Models, q.Model) || !serves(c.Adapters, q.Adapter):
@@ -95,14 +100,15 @@
 		return Excluded
 	case c.Down:
 		return IsDown
-	case full(q, c):
+	case atLimit(q, c):
 		return AtLimit
 	}
 	return Eligible
 }
 
-// full reports whether the node has as many calls at c as q's class may add to.
-func full(q *Query, c *Candidate) bool {
+// atLimit reports whether this node's calls at c have reached the limit for q, and c
+// has no idle slots to borrow.
+func atLimit(q *Query, c *Candidate) bool {
 	reach := q.Reach
 	if reach == 0 {
 		reach = 1
@@ -110,20 +116,22 @@
 	if float64(c.Sent) < reach*float64(c.Limit) {
 		return false
 	}
-	return float64(c.InFlight()) >= borrowBelow*float64(c.Slots)
+	return float64(c.InFlight()) >= borrowThreshold*float64(c.Slots)
 }
 
-// borrowBelow is the share of a target's slots up to which a node may go past
-// its own limit, using what other nodes leave idle. It rests on load reports,
-// so it stays well below 1.
-const borrowBelow = 0.6
+// borrowThreshold is the share of a target's slots in use below which a node may
+// exceed its own limit, to use slots that other nodes leave idle. The calls in flight
+// are estimated from load reports, which may be outdated, so it is well below 1.
+const borrowThreshold = 0.6
 
+// serves reports whether want is none or among the loaded models or adapters. An
+// empty list matches any.
 func serves(loaded []string, want string) bool {
 	return want == "" || len(loaded) == 0 || slices.Contains(loaded, want)
 }
 
-// Score estimates the time until c would finish q; lower is better. The call
-// waits while all slots are taken, then runs for Service.
+// Score estimates the time until c finishes q; lower is better. The call waits
+// while all slots are in use, then runs for Service.
 func Score(q *Query, c *Candidate) time.Duration {
 	slots := max(c.Slots, 1)
 	inFlight := c.InFlight()
@@ -139,26 +147,26 @@
 	return s
 }
 
-// affinityBound is how far above the mean load the preferred target of a
-// prefix may be before the affinity is dropped (bounded-load rendezvous
-// hashing).
+// affinityBound is the multiple of the mean number of calls in flight, plus one
+// call, above which the preferred target of a prefix is not preferred any more
+// (rendezvous hashing with bounded loads).
 const affinityBound = 1.25
 
 // Pick returns the index of the best candidate, or -1 when none is eligible.
-// Equal scores are broken at random, so that nodes do not all choose alike.
+// Ties are broken at random, so that nodes do not all pick the same target.
 // It does not allocate.
-func Pick(q *Query, cands []Candidate, rng *rand.Rand) int {
+func Pick(q *Query, candidates []Candidate, rng *rand.Rand) int {
 	preferred := -1
 	if q.Prefix != 0 {
-		preferred = affine(q, cands)
+		preferred = preferredTarget(q, candidates)
 	}
 	best, ties := -1, 0
 	var bestScore time.Duration
-	for i := range cands {
-		if Filter(q, &cands[i]) != Eligible {
+	for i := range candidates {
+		if Filter(q, &candidates[i]) != Eligible {
 			continue
 		}
-		s := Score(q, &cands[i])
+		s := Score(q, &candidates[i])
 		if i == preferred {
 			s -= q.PrefixGain
 		}
@@ -175,14 +183,15 @@
 	return best
 }
 
-// affine returns the index of the target that the prefix hashes to among the
-// candidates that hold the model, or -1 when its load is above the bound. It
-// ignores passing states, so that a full target does not move its prefixes.
-func affine(q *Query, cands []Candidate) int {
+// preferredTarget returns the index of the target with the highest hash for the
+// prefix, among the candidates that serve the model and adapter and are neither
+// leaving nor down, or -1 when its load is above affinityBound. It ignores limits and
+// q.Exclude, so that a prefix stays with a target that is at its limit.
+func preferredTarget(q *Query, candidates []Candidate) int {
 	best, n, total := -1, 0, 0
 	var bestHash uint64
-	for i := range cands {
-		c := &cands[i]
+	for i := range candidates {
+		c := &candidates[i]
 		if c.Leaving || c.Down || !serves(c.Models, q.Model) || !serves(c.Adapters, q.Adapter) {
 			continue
 		}
@@ -196,7 +205,7 @@
 		return -1
 	}
 	bound := affinityBound*float64(total)/float64(n) + 1
-	if float64(cands[best].InFlight()) > bound {
+	if float64(candidates[best].InFlight()) > bound {
 		return -1
 	}
 	return best
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func cand(id string, sent int) Candidate {
+func newCandidate(id string, sent int) Candidate {
 	return Candidate{
 		Target: Target{ID: id, Slots: 4, DataCentre: "a", Hash: uint64(len(id)) * 7919},
 		Load:   Load{Sent: sent, Limit: 8, Service: 100 * time.Millisecond},
@@ -33,9 +33,9 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			q, cd := Query{}, cand("t", 0)
-			tt.change(&q, &cd)
-			qt.Assert(t, Filter(&q, &cd), qt.Equals, tt.want)
+			q, candidate := Query{}, newCandidate("t", 0)
+			tt.change(&q, &candidate)
+			qt.Assert(t, Filter(&q, &candidate), qt.Equals, tt.want)
 		})
 	}
 }
@@ -53,29 +53,29 @@
 func TestPickPrefersIdleLocalAndAffine(t *testing.T) {
 	c := qt.New(t)
 	rng := rand.New(rand.NewPCG(1, 1))
-	cands := []Candidate{cand("a", 6), cand("bb", 1), cand("ccc", 4)}
-	c.Assert(Pick(&Query{}, cands, rng), qt.Equals, 1)
-	cands[1].DataCentre = "far"
-	far := Query{DataCentre: "a", RemoteCost: time.Second}
-	c.Assert(Pick(&far, cands, rng), qt.Equals, 2)
+	candidates := []Candidate{newCandidate("a", 6), newCandidate("bb", 1), newCandidate("ccc", 4)}
+	c.Assert(Pick(&Query{}, candidates, rng), qt.Equals, 1)
+	candidates[1].DataCentre = "far"
+	remoteQuery := Query{DataCentre: "a", RemoteCost: time.Second}
+	c.Assert(Pick(&remoteQuery, candidates, rng), qt.Equals, 2)
 	c.Assert(Pick(&Query{Model: "none"}, []Candidate{{Target: Target{Models: []string{"m"}}}}, rng), qt.Equals, -1)
 }
 
 func TestPrefixKeepsItsTargetUntilOverloaded(t *testing.T) {
 	c := qt.New(t)
 	rng := rand.New(rand.NewPCG(1, 1))
-	cands := make([]Candidate, 12)
-	for i := range cands {
-		cands[i] = cand(fmt.Sprint(i), 1)
-		cands[i].Hash = Mix(uint64(i), 1)
+	candidates := make([]Candidate, 12)
+	for i := range candidates {
+		candidates[i] = newCandidate(fmt.Sprint(i), 1)
+		candidates[i].Hash = Mix(uint64(i), 1)
 	}
 	q := Query{Prefix: 42, PrefixGain: time.Second}
-	home := Pick(&q, cands, rng)
+	preferred := Pick(&q, candidates, rng)
 	for range 20 {
-		c.Assert(Pick(&q, cands, rng), qt.Equals, home)
+		c.Assert(Pick(&q, candidates, rng), qt.Equals, preferred)
 	}
-	cands[home].Sent = 7
-	c.Assert(Pick(&q, cands, rng), qt.Not(qt.Equals), home)
+	candidates[preferred].Sent = 7
+	c.Assert(Pick(&q, candidates, rng), qt.Not(qt.Equals), preferred)
 }
 
 func TestBreakerProbesOnceAndCloses(t *testing.T) {
@@ -103,16 +103,16 @@
 	for _, n := range []int{12, 100, 670} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			rng := rand.New(rand.NewPCG(1, 1))
-			cands := make([]Candidate, n)
-			for i := range cands {
-				cands[i] = cand(fmt.Sprint(i), rng.IntN(8))
-				cands[i].Hash = Mix(uint64(i), 1)
-				cands[i].Models = []string{"m", "n"}
+			candidates := make([]Candidate, n)
+			for i := range candidates {
+				candidates[i] = newCandidate(fmt.Sprint(i), rng.IntN(8))
+				candidates[i].Hash = Mix(uint64(i), 1)
+				candidates[i].Models = []string{"m", "n"}
 			}
 			q := Query{Model: "n", Prefix: 42, DataCentre: "a", PrefixGain: time.Millisecond}
 			b.ReportAllocs()
 			for b.Loop() {
-				Pick(&q, cands, rng)
+				Pick(&q, candidates, rng)
 			}
 		})
 	}
--- a/internal/routing/subset.go
+++ b/internal/routing/subset.go
@@ -11,18 +11,19 @@
 )
 
 const (
-	// subsetSize is how many targets of a pool a node talks to when the pool is
-	// large.
+	// subsetSize is the number of targets that a node uses of a larger pool, before
+	// the minimum per group is applied.
 	subsetSize = 20
-	// subsetGroup is the least number of targets of each set of models.
-	subsetGroup = 6
+	// minGroupSize is the minimum number of targets per set of models.
+	minGroupSize = 6
 )
 
-// Subset returns the hosts that a node talks to. Small pools are kept whole; of
-// a large one each node takes its own share by rendezvous hashing, so that a
-// host that comes or goes changes few choices and every host has about as many
-// nodes. Hosts with the same models are one group, of which at least a few are
-// kept, so that no model is out of reach.
+// Subset returns the hosts that a node sends calls to, sorted by ID. Pools of at most
+// subsetSize hosts are kept whole. Of a larger pool each node selects its own subset
+// by rendezvous hashing, so that a host that is added or removed changes few
+// selections and all hosts are used by about the same number of nodes. Hosts of a pool
+// with the same models form a group, of which at least minGroupSize hosts are kept, so
+// that the node can call every model.
 func Subset(node string, hosts []store.Host) []store.Host {
 	pools := make(map[string]int)
 	groups := make(map[string][]store.Host)
@@ -34,23 +35,25 @@
 	seed := xxhash.Sum64String(node)
 	out := make([]store.Host, 0, len(hosts))
 	for _, group := range groups {
-		out = append(out, choose(seed, group, groupShare(len(group), pools[group[0].Pool]))...)
+		out = append(out, selectByHash(seed, group, groupQuota(len(group), pools[group[0].Pool]))...)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
 	return out
 }
 
-// groupShare is how many hosts of a group are kept.
-func groupShare(group, pool int) int {
+// groupQuota returns the number of hosts that are kept of a group of that size in a
+// pool of that size.
+func groupQuota(group, pool int) int {
 	if pool <= subsetSize {
 		return group
 	}
 	share := int(math.Ceil(float64(subsetSize) * float64(group) / float64(pool)))
-	return min(group, max(share, subsetGroup))
+	return min(group, max(share, minGroupSize))
 }
 
-// choose returns the n hosts with the highest hash for the seed.
-func choose(seed uint64, hosts []store.Host, n int) []store.Host {
+// selectByHash returns the n hosts with the highest hash for the seed, all if there
+// are no more than n.
+func selectByHash(seed uint64, hosts []store.Host, n int) []store.Host {
 	if n >= len(hosts) {
 		return hosts
 	}
