--- a/internal/frontdoor/exchange.go
+++ b/internal/frontdoor/exchange.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	// joinInterval is the pause between looks at a key that another attempt
-	// runs.
-	joinInterval = 100 * time.Millisecond
-	// recordGrace is how long after the end of an attempt its outcome is still
-	// expected in the ledger.
+	// pollInterval is the time between lookups of a key that another attempt
+	// holds.
+	pollInterval = 100 * time.Millisecond
+	// recordGrace is how long after the end of a claim its outcome may still
+	// arrive in the ledger.
 	recordGrace = time.Second
-	// recordTimeout bounds the tries to record an outcome.
+	// recordTimeout bounds the time for recording an outcome.
 	recordTimeout = 2 * time.Minute
 )
 
@@ -43,12 +43,12 @@
 	stream *eventStream
 }
 
-// claimed reports whether the request needs a claim: it may not be repeated
-// and the caller gave a key by which it might repeat it.
-func (e *exchange) claimed() bool { return e.call.key != "" && !e.req.Plan.Idempotent }
+// needsClaim reports whether the request needs a claim in the ledger: its pipeline
+// is not idempotent, and the caller sent a key with which it may repeat the request.
+func (e *exchange) needsClaim() bool { return e.call.key != "" && !e.req.Plan.Idempotent }
 
 func (e *exchange) serve() {
-	leave, err := e.s.enter(e.acct)
+	leave, err := e.s.admit(e.acct)
 	if err != nil {
 		e.refuseUnclaimed(err)
 		return
@@ -57,44 +57,48 @@
 	if e.call.stream {
 		e.openStream()
 	}
-	if e.claimed() {
+	if e.needsClaim() {
 		e.serveClaimed()
 		return
 	}
 	e.answer(e.execute(e.r.Context()))
 }
 
+// openStream prepares the response for server-sent events. The header is written with
+// the first token.
 func (e *exchange) openStream() {
 	e.stream = newEventStream(e.w)
 	e.req.Emit = e.stream.token
-	if e.claimed() {
-		e.req.Emit = e.stream.tokenIfPresent
+	if e.needsClaim() {
+		e.req.Emit = e.stream.tokenIgnoringErrors
 	}
 }
 
-// refuseUnclaimed refuses before the ledger was asked: an earlier attempt with
-// the same key may have run, so that only this attempt is known not to have.
+// refuseUnclaimed refuses an attempt that holds no claim and did not run. If the
+// request needs a claim, an earlier attempt with the same key may have run.
 func (e *exchange) refuseUnclaimed(err error) {
 	p := NewProblem(err, e.req.ID, e.s.cfg.Node)
 	p.AttemptVerdict = verdict.NotRun.String()
-	if e.claimed() {
+	if e.needsClaim() {
 		p.Verdict = verdict.MayHaveRun.String()
 	}
-	e.finishProblem(p)
+	e.sendProblem(p)
 }
 
-// outcome is a finished request.
+// outcome is the result of a finished request.
 type outcome struct {
 	ledger.Outcome
-	// notRun is the proof that nothing ran.
-	notRun       bool
+	// notRun is true if it is certain that nothing ran.
+	notRun bool
+	// retryAfterMS is the time in milliseconds after which the caller may retry;
+	// 0 if unknown.
 	retryAfterMS int64
-	// code is empty for a complete answer; met says that it was in time.
+	// code is empty for a complete answer; met is whether that was in time.
 	code verdict.Code
 	met  bool
 }
 
-// execute admits and runs the pipeline.
+// execute runs the pipeline if it can finish before the deadline.
 func (e *exchange) execute(ctx context.Context) outcome {
 	var ans *pipeline.Answer
 	err := e.s.cfg.Runner.Admit(e.req)
@@ -102,7 +106,7 @@
 		ans, err = e.s.cfg.Runner.Run(ctx, e.req)
 	}
 	if err != nil {
-		return e.problem(err, ans)
+		return e.problemOutcome(err, ans)
 	}
 	now := time.Now()
 	reply := Reply{
@@ -112,16 +116,18 @@
 	}
 	body, err := json.Marshal(reply)
 	if err != nil {
-		return e.problem(err, ans)
+		return e.problemOutcome(err, ans)
 	}
 	return outcome{Outcome: ledger.Outcome{Status: http.StatusOK, Body: body}, met: reply.DeadlineMet}
 }
 
-// ErrStopping is the cause with which a node that stops cancels the requests
-// that it cannot wait for.
+// ErrStopping is the cause with which a stopping node cancels the requests that
+// have not ended in time.
 var ErrStopping = eris.New("frontdoor: the node stops")
 
-func (e *exchange) problem(err error, ans *pipeline.Answer) outcome {
+// problemOutcome returns the outcome of a refusal. ans holds the costs of the stages; nil if
+// there are none.
+func (e *exchange) problemOutcome(err error, ans *pipeline.Answer) outcome {
 	if e.r != nil && errors.Is(context.Cause(e.r.Context()), ErrStopping) {
 		err = verdict.Wrap(err, verdict.Of(err), verdict.Stopping, "the node stopped before the request ended").After(time.Second)
 	}
@@ -129,8 +135,8 @@
 	if ans != nil {
 		p.Stages = ans.Stages
 	}
-	body, merr := json.Marshal(p)
-	if merr != nil {
+	body, marshalErr := json.Marshal(p)
+	if marshalErr != nil {
 		panic(http.ErrAbortHandler)
 	}
 	return outcome{
@@ -139,7 +145,8 @@
 	}
 }
 
-// answer sends an outcome to the caller, once.
+// answer reports an outcome to the observer and sends it to the caller. It is called
+// once.
 func (e *exchange) answer(o outcome) {
 	e.observe(o.code, o.met)
 	if e.stream != nil && e.stream.started {
@@ -149,7 +156,8 @@
 	writeBody(e.w, o.Status, o.Body, o.retryAfterMS)
 }
 
-func (e *exchange) finishProblem(p Problem) {
+// sendProblem reports a refusal to the observer and sends it to the caller.
+func (e *exchange) sendProblem(p Problem) {
 	e.observe(p.Code, false)
 	p.Write(e.w)
 }
@@ -161,8 +169,8 @@
 		"pipeline", e.req.Pipeline, "class", e.req.Class.String(), "code", string(code), "ms", took.Milliseconds(), "met", met)
 }
 
-// serveClaimed runs a request that may not be repeated, or answers it from the
-// attempt that holds its key.
+// serveClaimed claims the key and runs the request, or responds with the outcome of
+// the attempt that holds the key.
 func (e *exchange) serveClaimed() {
 	ctx, cancel := context.WithDeadline(e.r.Context(), e.req.Deadline)
 	defer cancel()
@@ -180,30 +188,30 @@
 			e.runClaimed(c)
 			return
 		}
-		if e.join(ctx, grant.Existing) {
+		if e.awaitHolder(ctx, grant.Existing) {
 			return
 		}
 	}
 }
 
-// fingerprint identifies what was asked, so that a key is not reused for
-// something else.
+// fingerprint is the hash of the pipeline and the input, by which the reuse of a key
+// for another request is detected.
 func (e *exchange) fingerprint() string {
 	sum := sha256.Sum256(append([]byte(e.req.Pipeline+"\x00"), e.req.Input...))
 	return hex.EncodeToString(sum[:])
 }
 
-// runClaimed runs the request to its end even if the caller leaves, because a
-// repeat of the key will ask for the outcome. The outcome is recorded together
-// with its delivery.
+// runClaimed runs the request to its end even if the caller disconnects, because the
+// caller may repeat the key to get the outcome. The outcome is recorded while it is
+// sent.
 func (e *exchange) runClaimed(c ledger.Claim) {
 	o := e.execute(context.WithoutCancel(e.r.Context()))
 	e.record(c, o)
 	e.answer(o)
 }
 
-// record writes the outcome of a claim into the ledger beside its delivery. A
-// request that provably did not run releases its key.
+// record writes the outcome of a claim to the ledger in the background. If it is
+// certain that the request did not run, the key is released instead.
 func (e *exchange) record(c ledger.Claim, o outcome) {
 	recorded := &o.Outcome
 	if o.notRun {
@@ -213,15 +221,16 @@
 		ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 		defer cancel()
 		if err := e.s.cfg.Ledger.Finish(ctx, c, recorded); err != nil {
-			e.s.cfg.Log.Error("outcome not recorded; repeats of the key are told may_have_run",
+			e.s.cfg.Log.Error("recording the request outcome failed; repeats of the key get may_have_run",
 				"request", e.req.ID, "account", e.acct.Name, "err", err)
 		}
 	})
 }
 
-// join answers from the attempt that holds the key. It reports false when the
-// key was released, so that it can be claimed again.
-func (e *exchange) join(ctx context.Context, rec ledger.Record) bool {
+// awaitHolder waits for the attempt that holds the key and responds with its outcome.
+// It returns false, without a response, when the key was released and can be claimed
+// again.
+func (e *exchange) awaitHolder(ctx context.Context, rec ledger.Record) bool {
 	for {
 		if rec.Fingerprint != e.fingerprint() {
 			e.refuseUnclaimed(verdict.New(verdict.NotRun, verdict.KeyReused, "the request key was used for another request: use a new key"))
@@ -241,7 +250,7 @@
 			e.refuseUnclaimed(verdict.New(verdict.MayHaveRun, verdict.KeyInProgress, "another attempt with this key is running").
 				After(time.Until(rec.Until)))
 			return true
-		case <-time.After(joinInterval):
+		case <-time.After(pollInterval):
 		}
 		next, found, err := e.s.cfg.Ledger.Lookup(ctx, rec.Key)
 		if err == nil && !found {
@@ -260,22 +269,23 @@
 	writeBody(e.w, out.Status, out.Body, 0)
 }
 
-// eventStream writes server-sent events.
+// eventStream writes a response of server-sent events.
 type eventStream struct {
-	w       http.ResponseWriter
-	flush   *http.ResponseController
+	w     http.ResponseWriter
+	flush *http.ResponseController
+	// started is true once the header is written.
 	started bool
 }
 
-// writeTimeout bounds one event's write to a slow caller.
+// writeTimeout bounds the time for writing one event to a slow caller.
 const writeTimeout = 5 * time.Second
 
 func newEventStream(w http.ResponseWriter) *eventStream {
 	return &eventStream{w: w, flush: http.NewResponseController(w)}
 }
 
-// token sends one token. The head is sent with the first one, so that a
-// refusal before it still has its own status.
+// token sends one token. The response header is sent with the first one, so that a
+// refusal before it has its own HTTP status.
 func (s *eventStream) token(t dispatch.Token) error {
 	if !s.started {
 		s.started = true
@@ -290,25 +300,25 @@
 	return s.event("token", data)
 }
 
-// tokenIfPresent sends one token and ignores that the caller left: a claimed
-// request runs to its end for the sake of a repeat.
-func (s *eventStream) tokenIfPresent(t dispatch.Token) error {
+// tokenIgnoringErrors sends one token and ignores write errors: a claimed request
+// runs to its end after its caller disconnected, so that a repeat gets the outcome.
+func (s *eventStream) tokenIgnoringErrors(t dispatch.Token) error {
 	_ = s.token(t)
 	return nil
 }
 
-// end sends the complete answer, or the problem, as the last event.
+// end sends the complete answer or the problem as the last event.
 func (s *eventStream) end(o outcome) {
 	name := "answer"
 	if o.Status >= http.StatusBadRequest {
 		name = "error"
 	}
-	// A failed write means that the caller left.
+	// A write fails only if the caller disconnected or is too slow.
 	_ = s.event(name, o.Body)
 }
 
 func (s *eventStream) event(name string, data []byte) error {
-	// Not every writer has deadlines; those that do not need none.
+	// An error means that the writer supports no deadlines; it then needs none.
 	_ = s.flush.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := s.w.Write([]byte("event: " + name + "\ndata: " + string(data) + "\n\n")); err != nil {
 		return err
--- a/internal/frontdoor/frontdoor.go
+++ b/internal/frontdoor/frontdoor.go
@@ -1,6 +1,7 @@
 // Package frontdoor serves the caller API: it authenticates the client
-// account, admits the request, claims its key where it may not be repeated,
-// and answers once, completely or with an honest refusal.
+// account, admits the request, claims its key in the ledger if the request must
+// not be repeated, runs it and sends one response: the complete answer or a
+// refusal that states whether the request may have run.
 package frontdoor
 
 import (
@@ -19,34 +20,38 @@
 	"topazmoor/internal/verdict"
 )
 
-// Config is what a Server is built from.
+// Config configures a Server.
 type Config struct {
 	// Node is the name of this node.
 	Node string
-	// Catalog returns the configuration in force.
+	// Catalog returns the current configuration.
 	Catalog func() *catalog.Compiled
 	// Runner runs the pipelines.
 	Runner *pipeline.Runner
-	// Ledger keeps claims of request keys.
+	// Ledger stores the claims of request keys and the outcomes.
 	Ledger ledger.Book
 	// IssueTicket returns a new request ticket for an account.
 	IssueTicket func(account string) string
-	// NewID returns an ID unique over all nodes.
+	// NewID returns an ID that is unique among all nodes.
 	NewID func() string
-	// Share returns the part of an account's rate that this node may use.
+	// Share returns the part of each account's rate that this node may use, from 0
+	// to 1.
 	Share func() float64
-	// BodyBytes and Requests are the limits of the settings.
+	// BodyBytes is the maximum size of a body, Requests the maximum number of
+	// requests in flight at this node.
 	BodyBytes int64
 	Requests  int
-	// ReadTimeout ends the reading of one body.
+	// ReadTimeout is the maximum time for reading one body.
 	ReadTimeout time.Duration
 	Observer    Observer
 	Log         *slog.Logger
 }
 
-// Observer is told about every request; it must not block.
+// Observer receives the result of every run call that was accepted, and of every
+// executed attempt at a batch item. It must not block.
 type Observer interface {
-	// RequestDone notes one request. code is empty for a complete answer.
+	// RequestDone records one request. code is empty for a complete answer; met is
+	// whether that was in time.
 	RequestDone(account, pipeline string, class catalog.Class, code verdict.Code, took time.Duration, met bool)
 }
 
@@ -72,11 +77,11 @@
 	s.mux.HandleFunc("POST "+PathRun+"{pipeline}", s.run)
 	s.mux.HandleFunc("POST "+PathTickets, s.ticket)
 	s.mux.HandleFunc("GET "+PathLookup+"{key}", s.lookup)
-	s.mux.HandleFunc("/", s.unknown)
+	s.mux.HandleFunc("/", s.unknownPath)
 	return s
 }
 
-// Handle adds a route for authenticated callers.
+// Handle registers a handler that is called for authenticated requests only.
 func (s *Server) Handle(pattern string, h func(w http.ResponseWriter, r *http.Request, acct *catalog.CompiledAccount)) {
 	s.mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 		acct, err := s.authenticate(r)
@@ -91,11 +96,11 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// InFlight returns the number of requests that are being worked on.
+// InFlight returns the number of requests in flight.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
-// Wait returns when the work of all requests has ended, detached work whose
-// callers left included, or when ctx ends.
+// Wait returns when the work of all requests has ended, including the recording of
+// outcomes and requests whose callers disconnected, or when ctx ends.
 func (s *Server) Wait(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
@@ -110,7 +115,8 @@
 	}
 }
 
-func (s *Server) unknown(w http.ResponseWriter, r *http.Request) {
+// unknownPath refuses a request for a path that the caller API does not have.
+func (s *Server) unknownPath(w http.ResponseWriter, r *http.Request) {
 	s.refuse(w, verdict.New(verdict.NotRun, verdict.NotFound, "%s %s is not part of the caller API", r.Method, r.URL.Path), "")
 }
 
@@ -118,8 +124,8 @@
 	NewProblem(err, requestID, s.cfg.Node).Write(w)
 }
 
-// authenticate finds the account of the bearer token. Only the hash of the
-// token is compared and kept.
+// authenticate returns the account of the bearer token. The configuration holds
+// only hashes of tokens.
 func (s *Server) authenticate(r *http.Request) (*catalog.CompiledAccount, error) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || token == "" {
@@ -136,6 +142,7 @@
 	return acct, nil
 }
 
+// ticket issues a request ticket.
 func (s *Server) ticket(w http.ResponseWriter, r *http.Request) {
 	acct, err := s.authenticate(r)
 	if err != nil {
@@ -150,23 +157,25 @@
 	writeBody(w, http.StatusOK, body, 0)
 }
 
-// Ticket is the body of a ticket's answer.
+// Ticket is the response body of a ticket call.
 type Ticket struct {
-	// Ticket is used as the Idempotency-Key of one request.
+	// Ticket is a request key: the Idempotency-Key of one request.
 	Ticket string `json:"ticket"`
 	Node   string `json:"node"`
 }
 
-// KeyStatus is the body of a lookup.
+// KeyStatus is the response body of a lookup.
 type KeyStatus struct {
 	Key string `json:"key"`
-	// State is unknown, in_progress, finished or lost (the holder died).
+	// State is unknown, in_progress, finished or lost. A key is lost if the claim
+	// expired without an outcome, for instance because its node failed.
 	State string `json:"state"`
-	// Status and Answer are what the caller was told; for state finished.
+	// Status and Answer are the recorded HTTP status and body, in state finished.
 	Status int             `json:"status,omitempty"`
 	Answer json.RawMessage `json:"answer,omitempty"`
 }
 
+// lookup returns the state of a request key of the account.
 func (s *Server) lookup(w http.ResponseWriter, r *http.Request) {
 	acct, err := s.authenticate(r)
 	if err != nil {
@@ -200,12 +209,12 @@
 	return st
 }
 
-// run answers a run call.
+// run serves a run call.
 func (s *Server) run(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	id := s.cfg.NewID()
 	w.Header().Set(HeaderRequestID, id)
-	e, err := s.accept(w, r, id, arrived)
+	e, err := s.newExchange(w, r, id, arrived)
 	if err != nil {
 		s.refuseEarly(w, r, err, id)
 		return
@@ -213,9 +222,9 @@
 	e.serve()
 }
 
-// refuseEarly refuses a run call before its pipeline is known. This attempt did
-// not run, but an earlier one with the same key may have, at another node or
-// under another configuration.
+// refuseEarly refuses a run call that was not accepted. This attempt did not run,
+// but an earlier one with the same key may have, at another node or under another
+// configuration.
 func (s *Server) refuseEarly(w http.ResponseWriter, r *http.Request, err error, id string) {
 	p := NewProblem(err, id, s.cfg.Node)
 	if r.Header.Get(HeaderKey) != "" {
@@ -224,8 +233,8 @@
 	p.Write(w)
 }
 
-// accept authenticates and checks a run call.
-func (s *Server) accept(w http.ResponseWriter, r *http.Request, id string, arrived time.Time) (*exchange, error) {
+// newExchange authenticates and validates a run call.
+func (s *Server) newExchange(w http.ResponseWriter, r *http.Request, id string, arrived time.Time) (*exchange, error) {
 	acct, err := s.authenticate(r)
 	if err != nil {
 		return nil, err
@@ -250,13 +259,14 @@
 	return &exchange{s: s, w: w, r: r, acct: acct, req: req, call: call, arrived: arrived, revision: s.cfg.Catalog().Revision}, nil
 }
 
-// enter admits a request to the node's and the account's limits.
-func (s *Server) enter(acct *catalog.CompiledAccount) (leave func(), err error) {
+// admit counts a request against the limits of the node and of the account, or
+// refuses it. leave must be called once when the request ends.
+func (s *Server) admit(acct *catalog.CompiledAccount) (leave func(), err error) {
 	if s.inFlight.Add(1) > int64(s.cfg.Requests) {
 		s.inFlight.Add(-1)
 		return nil, verdict.New(verdict.NotRun, verdict.Overloaded, "the node works on %d requests", s.cfg.Requests).After(time.Second)
 	}
-	release, err := s.limits.enter(acct, time.Now())
+	release, err := s.limits.admit(acct, time.Now())
 	if err != nil {
 		s.inFlight.Add(-1)
 		return nil, err
--- a/internal/frontdoor/frontdoor_test.go
+++ b/internal/frontdoor/frontdoor_test.go
@@ -36,11 +36,12 @@
 	return errors.New("not used")
 }
 
-type ignore struct{}
+type discardObserver struct{}
 
-func (ignore) RequestDone(string, string, catalog.Class, verdict.Code, time.Duration, bool) {}
-func (ignore) StageCall(string, string, time.Duration, error)                               {}
-func (ignore) Wasted(string, string, time.Duration)                                         {}
+func (discardObserver) RequestDone(string, string, catalog.Class, verdict.Code, time.Duration, bool) {
+}
+func (discardObserver) StageCall(string, string, time.Duration, error) {}
+func (discardObserver) Wasted(string, string, time.Duration)           {}
 
 func newServer(t testing.TB, requests int) *Server {
 	t.Helper()
@@ -53,15 +54,15 @@
 	sched.SetHosts([]store.Host{{ID: "t", Pool: "svc", Slots: 4, State: store.Live}}, func(string) bool { return false })
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	tickets := ledger.NewTickets([]byte("secret"), "n", "10.0.0.1:1", "i", time.Minute, func() string { return "nonce" })
-	book := ledger.NewTicketBook(tickets)
-	router := ledger.NewRouter("n", tickets, book, ledger.NewTableBook(store.NewMemory(), time.Millisecond, log), ledger.Alone{})
+	ticketBook := ledger.NewTicketBook(tickets)
+	router := ledger.NewRouter("n", tickets, ticketBook, ledger.NewTableBook(store.NewMemory(), time.Millisecond, log), ledger.Alone{})
 	id := 0
 	return New(Config{
 		Node: "n", Catalog: func() *catalog.Compiled { return cfg },
-		Runner: pipeline.NewRunner(sched, echoTarget{}, pools, ignore{}, log),
+		Runner: pipeline.NewRunner(sched, echoTarget{}, pools, discardObserver{}, log),
 		Ledger: router, IssueTicket: router.Issue,
 		NewID: func() string { id++; return "r" + strings.Repeat("i", id) }, Share: func() float64 { return 1 },
-		BodyBytes: 1 << 10, Requests: requests, ReadTimeout: time.Second, Observer: ignore{}, Log: log,
+		BodyBytes: 1 << 10, Requests: requests, ReadTimeout: time.Second, Observer: discardObserver{}, Log: log,
 	})
 }
 
@@ -189,7 +190,7 @@
 	c.Assert(p.Code, qt.Equals, verdict.RateLimited)
 	c.Assert(p.Verdict, qt.Equals, "not_run")
 	c.Assert(w.Header().Get("Retry-After"), qt.Equals, "1")
-	// A key that may have run elsewhere is not called not_run.
+	// With a key the request may have run elsewhere, so that the verdict is not not_run.
 	keyed := problemOf(c, post(s, "/v1/pipelines/once", "token-slow", `{"input":1}`, HeaderKey, "k"))
 	c.Assert(keyed.Verdict, qt.Equals, "may_have_run")
 	c.Assert(keyed.AttemptVerdict, qt.Equals, "not_run")
@@ -202,7 +203,8 @@
 	c.Assert(p.RetryAfterMS > 0, qt.IsTrue)
 }
 
-// TestExampleProblemIsCurrent compares the documented refusal with a real one.
+// TestExampleProblemIsCurrent compares the refusal in the documentation with an actual
+// one.
 func TestExampleProblemIsCurrent(t *testing.T) {
 	c := qt.New(t)
 	want, err := os.ReadFile("../../docs/examples/problem.json")
--- a/internal/frontdoor/reply.go
+++ b/internal/frontdoor/reply.go
@@ -17,29 +17,31 @@
 	Revision  int64           `json:"revision"`
 	Node      string          `json:"node"`
 	Output    json.RawMessage `json:"output"`
-	// DeadlineMet says whether the answer was complete in time.
+	// DeadlineMet is whether the answer was complete in time.
 	DeadlineMet bool `json:"deadline_met"`
-	// LatencyMS is the time from arrival to the complete answer.
+	// LatencyMS is the time from the arrival of the request to the complete answer, in
+	// milliseconds.
 	LatencyMS float64              `json:"latency_ms"`
 	Stages    []pipeline.StageCost `json:"stages"`
 }
 
 // Problem is the body of a refusal, as RFC 9457 problem details.
 type Problem struct {
-	// Type is a URI reference made from the code.
+	// Type is a URN that ends in the code.
 	Type   string `json:"type"`
 	Title  string `json:"title"`
 	Status int    `json:"status"`
 	Detail string `json:"detail"`
-	// Code is the stable reason.
+	// Code is the reason as a stable, machine-readable name.
 	Code verdict.Code `json:"code"`
-	// Verdict says whether the request, in any attempt with its key, may have
-	// run: not_run or may_have_run.
+	// Verdict is whether the request may have run in any attempt with its key: not_run
+	// or may_have_run.
 	Verdict string `json:"verdict"`
-	// AttemptVerdict says the same of this submission alone. A caller that
-	// never sent the key before can rely on it.
+	// AttemptVerdict is the verdict of this attempt alone. A caller that has not sent
+	// the key before can rely on it.
 	AttemptVerdict string `json:"attempt_verdict"`
-	// RetryAfterMS is when a repeat has a fair chance; 0 for unknown.
+	// RetryAfterMS is the time in milliseconds after which a repeat is likely to
+	// succeed; 0 if unknown.
 	RetryAfterMS int64                `json:"retry_after_ms,omitempty"`
 	RequestID    string               `json:"request_id,omitempty"`
 	Stage        string               `json:"stage,omitempty"`
@@ -83,8 +85,8 @@
 	return http.StatusInternalServerError
 }
 
-// NewProblem describes err. The caller may still raise Verdict when the key of
-// the request may have run in another attempt.
+// NewProblem returns the problem details of err. The caller changes Verdict to
+// may_have_run if another attempt with the same key may have run.
 func NewProblem(err error, requestID, node string) Problem {
 	e := verdict.As(err)
 	v := e.Verdict.Refusal().String()
@@ -95,7 +97,7 @@
 	}
 }
 
-// Write sends the problem.
+// Write sends the problem as the response.
 func (p Problem) Write(w http.ResponseWriter) {
 	body, err := json.Marshal(p)
 	if err != nil {
@@ -104,7 +106,7 @@
 	writeBody(w, p.Status, body, p.RetryAfterMS)
 }
 
-// writeBody sends an answer or a problem.
+// writeBody sends an answer or, with an error status, a problem.
 func writeBody(w http.ResponseWriter, status int, body []byte, retryAfterMS int64) {
 	contentType := "application/json"
 	if status >= http.StatusBadRequest {
@@ -112,11 +114,11 @@
 	}
 	w.Header().Set("Content-Type", contentType)
 	if retryAfterMS > 0 {
-		// Rounded up: the header knows whole seconds only.
+		// The header takes whole seconds only, so the time is rounded up.
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(float64(retryAfterMS)/1000))))
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	// A failed write means that the caller left.
+	// A write fails only if the caller disconnected.
 	_, _ = w.Write(body)
 }
--- a/internal/frontdoor/request.go
+++ b/internal/frontdoor/request.go
@@ -13,36 +13,38 @@
 	"topazmoor/internal/verdict"
 )
 
-// Headers of the caller API. A header goes before the field of the body.
+// Headers of the caller API. A header overrides the field of the body with the same
+// meaning.
 const (
-	// HeaderKey carries the request key (a caller's own, or a ticket).
+	// HeaderKey is the request key: a key of the caller's choice, or a ticket.
 	HeaderKey = "Idempotency-Key"
-	// HeaderDeadline shortens the deadline, such as "2s".
+	// HeaderDeadline shortens the deadline. It is a duration such as "2s".
 	HeaderDeadline = "Topazmoor-Deadline"
 	// HeaderClass lowers the priority class.
 	HeaderClass = "Topazmoor-Class"
-	// HeaderRequestID returns the request's ID.
+	// HeaderRequestID is the ID of the request, in responses.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderReplayed marks an answer that was recorded earlier.
+	// HeaderReplayed marks a response that is the recorded outcome of an earlier
+	// attempt.
 	HeaderReplayed = "Idempotent-Replayed"
 )
 
-// maxKey is the longest request key, in bytes.
-const maxKey = 255
+// maxKeyBytes is the maximum length of a request key.
+const maxKeyBytes = 255
 
 // runBody is the body of a run call.
 type runBody struct {
-	// Input is what the pipeline works on: a string or any JSON value.
+	// Input is the input of the pipeline: a string or any other JSON value.
 	Input any `json:"input" need:"true"`
-	// Stream asks for server-sent events.
+	// Stream requests the response as server-sent events.
 	Stream bool `json:"stream"`
-	// Key, Deadline and Class may be given here instead of by header.
+	// Key, Deadline and Class may be set here instead of in headers.
 	Key      string              `json:"key"`
 	Deadline strictjson.Duration `json:"deadline"`
 	Class    string              `json:"class"`
 }
 
-// runCall is a checked run call.
+// runCall is a validated run call.
 type runCall struct {
 	input    json.RawMessage
 	stream   bool
@@ -51,17 +53,18 @@
 	class    catalog.Class
 }
 
+// invalid returns the refusal of an invalid request.
 func invalid(format string, args ...any) error {
 	return verdict.New(verdict.NotRun, verdict.InvalidRequest, format, args...)
 }
 
-// readBody reads at most limit bytes within timeout. On success the deadline is
-// lifted, because http.Server.ReadTimeout would go on counting while the
-// request runs and cancel it. After a failure it stays, so that the server does
-// not wait for the rest of the body either.
+// readBody reads at most limit bytes within timeout. On success the read deadline of
+// the connection is removed, because it would otherwise expire while the request runs,
+// as that of http.Server.ReadTimeout would, and cancel it. After a failure it stays, so
+// that the server does not wait for the rest of the body.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64, timeout time.Duration) ([]byte, error) {
 	conn := http.NewResponseController(w)
-	// Not every writer has deadlines; those that do not need none.
+	// An error means that the writer supports no deadlines; it then needs none.
 	_ = conn.SetReadDeadline(time.Now().Add(timeout))
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	var tooLarge *http.MaxBytesError
@@ -75,7 +78,7 @@
 	return b, nil
 }
 
-// parseRun checks a run call against the plan of its pipeline.
+// parseRun parses a run call and validates it against the plan of its pipeline.
 func parseRun(r *http.Request, body []byte, plan *catalog.Plan) (runCall, error) {
 	var b runBody
 	if err := strictjson.Decode(body, &b); err != nil {
@@ -86,15 +89,16 @@
 		return runCall{}, invalid("input: %v", err)
 	}
 	c := runCall{input: input, stream: b.Stream, key: header(r, HeaderKey, b.Key), deadline: plan.Deadline, class: plan.Class}
-	if len(c.key) > maxKey {
-		return runCall{}, invalid("the request key is over %d bytes", maxKey)
+	if len(c.key) > maxKeyBytes {
+		return runCall{}, invalid("the request key is over %d bytes", maxKeyBytes)
 	}
-	if err := c.shorten(r.Header.Get(HeaderDeadline), b.Deadline.Std()); err != nil {
+	if err := c.applyDeadline(r.Header.Get(HeaderDeadline), b.Deadline.Std()); err != nil {
 		return runCall{}, err
 	}
-	return c, c.lower(header(r, HeaderClass, b.Class))
+	return c, c.applyClass(header(r, HeaderClass, b.Class))
 }
 
+// header returns the header, or the field of the body if the header is not set.
 func header(r *http.Request, name, field string) string {
 	if h := r.Header.Get(name); h != "" {
 		return h
@@ -102,13 +106,13 @@
 	return field
 }
 
-// shorten applies the caller's deadline; it never passes the plan's.
-func (c *runCall) shorten(head string, field time.Duration) error {
+// applyDeadline applies the caller's deadline, which cannot be later than the plan's.
+func (c *runCall) applyDeadline(headerValue string, field time.Duration) error {
 	d := field
-	if head != "" {
+	if headerValue != "" {
 		var err error
-		if d, err = time.ParseDuration(head); err != nil {
-			return invalid("%s: %q is not a duration: write one such as \"2s\"", HeaderDeadline, head)
+		if d, err = time.ParseDuration(headerValue); err != nil {
+			return invalid("%s: %q is not a duration: write one such as \"2s\"", HeaderDeadline, headerValue)
 		}
 	}
 	if d < 0 {
@@ -120,8 +124,8 @@
 	return nil
 }
 
-// lower applies the caller's class; it never rises above the plan's.
-func (c *runCall) lower(name string) error {
+// applyClass applies the caller's class, which cannot be higher than the plan's.
+func (c *runCall) applyClass(name string) error {
 	if name == "" {
 		return nil
 	}
