--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -1,5 +1,5 @@
-// Package pipeline runs the stages of one request's plan against targets. It
-// owns the request's deadline, retries, hedges and stream resumption, and
+// Package pipeline runs the stages of one request's plan on targets. It handles
+// the request's deadline, retries, hedges and the resumption of streams, and
 // combines the verdicts of all attempts.
 package pipeline
 
@@ -18,7 +18,7 @@
 
 // Request is one request of a caller, ready to run.
 type Request struct {
-	// ID is unique over all nodes.
+	// ID is unique among all nodes.
 	ID       string
 	Account  string
 	Pipeline string
@@ -28,7 +28,8 @@
 	Deadline time.Time
 	// Input is the caller's input, a JSON value.
 	Input json.RawMessage
-	// Emit, when set, receives the tokens of the last stage as they come.
+	// Emit, when set, receives the tokens of the last stage as they arrive, if it is
+	// a generate stage. An error ends the request.
 	Emit func(dispatch.Token) error
 }
 
@@ -38,13 +39,13 @@
 	Stages []StageCost
 }
 
-// StageCost accounts for the work of one stage.
+// StageCost is the number of calls and the target time of one stage.
 type StageCost struct {
 	Stage string `json:"stage"`
 	// Attempts counts the calls that were made.
 	Attempts int `json:"attempts"`
-	// TargetMS is the target time of the call that gave the answer and
-	// WastedMS of all others, in milliseconds.
+	// TargetMS is the time of the calls whose results are used, and WastedMS that of
+	// all other calls, in milliseconds.
 	TargetMS float64 `json:"target_ms"`
 	WastedMS float64 `json:"wasted_ms,omitempty"`
 	// Tokens is the number of tokens generated.
@@ -53,46 +54,48 @@
 
 // Runner runs requests. It is safe for concurrent use.
 type Runner struct {
-	sched *scheduler.Scheduler
-	calls Caller
-	pools map[string]settings.Pool
-	log   *slog.Logger
-	obs   Observer
+	sched    *scheduler.Scheduler
+	calls    Caller
+	pools    map[string]settings.Pool
+	log      *slog.Logger
+	observer Observer
 }
 
-// Caller makes one attempt of one call; *dispatch.Client in production.
+// Caller makes one attempt at one call; *dispatch.Client in production.
 type Caller interface {
 	// Do returns the JSON body of the answer.
 	Do(ctx context.Context, call dispatch.Call) ([]byte, error)
-	// Stream hands each token to emit, starting with index next.
+	// Stream passes each token to emit, starting with the one of index next.
 	Stream(ctx context.Context, call dispatch.Call, next int, stall dispatch.Stall, emit func(dispatch.Token) error) error
 }
 
-// Observer is told about every stage call; it must not block.
+// Observer receives the result of every stage call; it must not block.
 type Observer interface {
-	// StageCall notes one finished attempt. err is nil on success.
+	// StageCall records one finished attempt. err is nil on success.
 	StageCall(pool, stage string, took time.Duration, err error)
-	// Wasted notes target time that served no answer.
+	// Wasted records target time whose result is not used.
 	Wasted(pool, stage string, took time.Duration)
 }
 
-// NewRunner returns a Runner over the given pools.
-func NewRunner(s *scheduler.Scheduler, c Caller, pools []settings.Pool, obs Observer, log *slog.Logger) *Runner {
+// NewRunner returns a Runner that calls targets of the given pools.
+func NewRunner(s *scheduler.Scheduler, c Caller, pools []settings.Pool, observer Observer, log *slog.Logger) *Runner {
 	byName := make(map[string]settings.Pool, len(pools))
 	for _, p := range pools {
 		byName[p.Name] = p
 	}
-	return &Runner{sched: s, calls: c, pools: byName, log: log, obs: obs}
+	return &Runner{sched: s, calls: c, pools: byName, log: log, observer: observer}
 }
 
-// admitShare is the share of the estimated need that must fit the deadline. The
-// estimate counts calls ahead that will be refused or abandoned themselves.
+// admitShare is the share of the estimated time that must be left until the deadline.
+// It is below 1 because the estimate includes waiting calls that will be refused or
+// cancelled before they start.
 const admitShare = 0.8
 
-// Admit refuses a request that cannot finish in time: the estimate covers the
-// queues and service times of all its stages. The error is NotRun.
+// Admit refuses a request that is unlikely to finish before its deadline, by the
+// estimated queueing and service times of all its stages. The error is a
+// *verdict.Error with NotRun.
 func (r *Runner) Admit(req *Request) error {
-	need, wait := r.sched.Remaining(demands(req, 0), req.Class)
+	need, wait := r.sched.Remaining(stageDemands(req, 0), req.Class)
 	if time.Duration(admitShare*float64(need)) <= time.Until(req.Deadline) {
 		return nil
 	}
@@ -102,7 +105,8 @@
 		After(max(wait, time.Second))
 }
 
-func demands(req *Request, from int) []scheduler.StageDemand {
+// stageDemands returns the stages of a request, from index from on, for an estimate.
+func stageDemands(req *Request, from int) []scheduler.StageDemand {
 	stages := req.Plan.Stages
 	out := make([]scheduler.StageDemand, 0, len(stages)-from)
 	for i := from; i < len(stages); i++ {
@@ -111,27 +115,28 @@
 	return out
 }
 
-// stageKey names the service-time estimate of a stage. Classes have estimates
-// of their own, because targets serve them in the order of priority.
+// stageKey is the key of the service-time estimate of a stage. Each class has its
+// own estimate, because targets serve calls by priority.
 func stageKey(req *Request, i int) string {
 	return req.Plan.Template + "/" + req.Plan.Stages[i].Name + "/" + req.Class.String()
 }
 
-// Run runs all stages. The error is a *verdict.Error whose verdict covers all
-// attempts at all stages. It returns the costs in both cases.
+// Run runs all stages. The error is a *verdict.Error whose verdict combines
+// those of all attempts at all stages. The Answer is never nil; with an error it holds
+// only the costs of the stages.
 func (r *Runner) Run(ctx context.Context, req *Request) (*Answer, error) {
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
 	d := newData(req.Input)
 	ans := &Answer{}
-	soFar := verdict.NotRun
+	combined := verdict.NotRun
 	for i := range req.Plan.Stages {
 		run := &stageRun{r: r, req: req, index: i, st: &req.Plan.Stages[i], d: d}
 		v, err := run.run(ctx)
-		soFar = soFar.Combine(v)
+		combined = combined.Combine(v)
 		ans.Stages = append(ans.Stages, run.cost)
 		if err != nil {
-			return ans, verdict.WithPrior(err, soFar)
+			return ans, verdict.WithPrior(err, combined)
 		}
 	}
 	ans.Output = d.output
--- a/internal/pipeline/protocol.go
+++ b/internal/pipeline/protocol.go
@@ -12,8 +12,7 @@
 	"topazmoor/internal/settings"
 )
 
-// Paths of the targets' HTTP interfaces, in the shapes that model servers
-// commonly offer.
+// Paths of the HTTP interfaces of targets, as model servers commonly have them.
 const (
 	PathEncode   = "/v1/embeddings"
 	PathRetrieve = "/v1/retrieve"
@@ -21,18 +20,18 @@
 	PathGenerate = "/v1/completions"
 )
 
-// EncodeRequest and EncodeResponse are the bodies of an encode call.
+// EncodeRequest is the body of an encode call.
 type EncodeRequest struct {
 	Model string `json:"model,omitempty"`
 	Input string `json:"input"`
 }
 
-// EncodeResponse is the answer of an encoder.
+// EncodeResponse is the response body of an encode call.
 type EncodeResponse struct {
 	Data []Embedding `json:"data"`
 }
 
-// Embedding is one vector.
+// Embedding is one embedding vector.
 type Embedding struct {
 	Embedding []float64 `json:"embedding"`
 }
@@ -44,7 +43,7 @@
 	TopK      int       `json:"top_k"`
 }
 
-// RetrieveResponse is the answer of a retriever.
+// RetrieveResponse is the response body of a retrieve call.
 type RetrieveResponse struct {
 	Documents []string `json:"documents"`
 }
@@ -57,12 +56,12 @@
 	TopN      int      `json:"top_n,omitempty"`
 }
 
-// RerankResponse is the answer of a reranker.
+// RerankResponse is the response body of a rerank call.
 type RerankResponse struct {
 	Results []RerankResult `json:"results"`
 }
 
-// RerankResult refers to a document of the request.
+// RerankResult is one ranked document, identified by its index in the request.
 type RerankResult struct {
 	Index          int     `json:"index"`
 	RelevanceScore float64 `json:"relevance_score"`
@@ -73,23 +72,26 @@
 	Model   string `json:"model"`
 	Adapter string `json:"adapter,omitempty"`
 	Prompt  string `json:"prompt"`
-	// Priority is lower for more urgent work, as engines expect it.
+	// Priority is the priority class as a number: engines serve lower numbers first.
 	Priority  int  `json:"priority"`
 	MaxTokens int  `json:"max_tokens"`
 	Stream    bool `json:"stream"`
-	// Resume holds the tokens that were already received of this generation;
-	// the engine continues after them.
+	// Resume holds the tokens of this generation that were received from earlier
+	// attempts; the engine continues after them.
 	Resume []string `json:"resume,omitempty"`
 }
 
-// ServiceRequest is the body of a call to a plain service.
+// ServiceRequest is the body of a call to a service without a model-specific
+// interface.
 type ServiceRequest struct {
 	Input json.RawMessage `json:"input"`
-	// Results holds the results of earlier stages by name.
+	// Results holds the results of earlier stages by stage name.
 	Results map[string]json.RawMessage `json:"results,omitempty"`
 }
 
-// data is what flows from stage to stage.
+// data is the data that stages read and write: the input, what the last stages of each
+// kind returned, and the results of all stages by name. output is the result of the last
+// stage.
 type data struct {
 	input     json.RawMessage
 	query     string
@@ -99,6 +101,8 @@
 	results   map[string]json.RawMessage
 }
 
+// newData returns the data of a request before its first stage. The query is the input
+// if that is a string, and its JSON text otherwise.
 func newData(input json.RawMessage) *data {
 	d := &data{input: input, results: make(map[string]json.RawMessage)}
 	if json.Unmarshal(input, &d.query) != nil {
@@ -107,14 +111,18 @@
 	return d
 }
 
-// prompt is what a generate stage sees.
+// prompt returns the prompt of a generate stage: the documents and the query, one
+// after the other.
 func (d *data) prompt() string {
 	return strings.Join(append(append([]string{}, d.documents...), d.query), "\n")
 }
 
-// prefixLen is how much of a prompt is hashed for prefix affinity, in bytes.
+// prefixLen is the length in bytes of the prompt prefix that is hashed for prefix
+// affinity.
 const prefixLen = 256
 
+// prefix returns the hash of the model, the adapter and the prompt's prefix; 0 for a
+// stage that does not generate.
 func (d *data) prefix(st *catalog.PlanStage) uint64 {
 	if st.Kind != settings.Generate {
 		return 0
@@ -123,7 +131,7 @@
 	return xxhash.Sum64String(st.Model + "\x00" + st.Adapter + "\x00" + p[:min(len(p), prefixLen)])
 }
 
-// body returns the path and body of the call of one stage.
+// body returns the path and the body of the call of a stage that does not generate.
 func (d *data) body(st *catalog.PlanStage, pool settings.Pool) (string, any) {
 	switch st.Kind {
 	case settings.Encode:
@@ -136,18 +144,18 @@
 	return pool.Path, ServiceRequest{Input: d.input, Results: d.results}
 }
 
-// take stores the answer of a stage.
-func (d *data) take(st *catalog.PlanStage, answer []byte) error {
+// store parses and stores the answer of a stage.
+func (d *data) store(st *catalog.PlanStage, answer []byte) error {
 	var err error
 	switch st.Kind {
 	case settings.Encode:
-		err = d.takeEmbedding(answer)
+		err = d.storeEmbedding(answer)
 	case settings.Retrieve:
 		var r RetrieveResponse
 		err = json.Unmarshal(answer, &r)
 		d.documents = r.Documents
 	case settings.Rerank:
-		err = d.takeRanking(answer)
+		err = d.storeRanking(answer)
 	}
 	if err != nil {
 		return eris.Wrapf(err, "answer of stage %s", st.Name)
@@ -157,19 +165,19 @@
 	return nil
 }
 
-func (d *data) takeEmbedding(answer []byte) error {
+func (d *data) storeEmbedding(answer []byte) error {
 	var r EncodeResponse
 	if err := json.Unmarshal(answer, &r); err != nil {
 		return err
 	}
 	if len(r.Data) == 0 {
-		return eris.New("no embedding")
+		return eris.New("the response has no embedding")
 	}
 	d.embedding = r.Data[0].Embedding
 	return nil
 }
 
-func (d *data) takeRanking(answer []byte) error {
+func (d *data) storeRanking(answer []byte) error {
 	var r RerankResponse
 	if err := json.Unmarshal(answer, &r); err != nil {
 		return err
@@ -177,7 +185,7 @@
 	ranked := make([]string, 0, len(r.Results))
 	for _, res := range r.Results {
 		if res.Index < 0 || res.Index >= len(d.documents) {
-			return eris.Errorf("document %d does not exist", res.Index)
+			return eris.Errorf("the ranking refers to document %d, which the request does not have", res.Index)
 		}
 		ranked = append(ranked, d.documents[res.Index])
 	}
@@ -185,13 +193,13 @@
 	return nil
 }
 
-// takeTokens stores the whole text of a generate stage.
-func (d *data) takeTokens(st *catalog.PlanStage, tokens []string) error {
+// storeTokens stores the complete text of a generate stage.
+func (d *data) storeTokens(st *catalog.PlanStage, tokens []string) error {
 	answer, err := json.Marshal(Generation{Text: strings.Join(tokens, ""), Tokens: len(tokens)})
 	if err != nil {
 		return eris.Wrap(err, "encode generation")
 	}
-	return d.take(st, answer)
+	return d.store(st, answer)
 }
 
 // Generation is the result of a generate stage.
@@ -200,10 +208,10 @@
 	Tokens int    `json:"tokens"`
 }
 
-func (r *Request) generateBody(st *catalog.PlanStage, d *data, got []string) GenerateRequest {
+func (r *Request) generateBody(st *catalog.PlanStage, d *data, received []string) GenerateRequest {
 	return GenerateRequest{
 		Model: st.Model, Adapter: st.Adapter, Prompt: d.prompt(),
-		Priority: int(r.Class), MaxTokens: st.MaxTokens, Stream: true, Resume: got,
+		Priority: int(r.Class), MaxTokens: st.MaxTokens, Stream: true, Resume: received,
 	}
 }
 
--- a/internal/pipeline/stage.go
+++ b/internal/pipeline/stage.go
@@ -14,14 +14,15 @@
 )
 
 const (
-	// firstTokenStall and nextTokenStall bound the silence of a stream before
-	// it is resumed at another engine.
+	// firstTokenStall and nextTokenStall are the longest waits for the first and for
+	// each further token of a stream. After that it is resumed on another engine.
 	firstTokenStall = 4 * time.Second
 	nextTokenStall  = time.Second
-	// attemptsFactor times the stage's attempts bounds the calls in all, those
-	// that did not run included.
-	attemptsFactor = 3
-	// minHedgeDelay keeps hedges away from calls that are quick anyway.
+	// maxCallsFactor times the stage's attempts is the maximum number of calls,
+	// including those that did not run.
+	maxCallsFactor = 3
+	// minHedgeDelay is the minimum delay of a hedge, so that short calls are not
+	// hedged.
 	minHedgeDelay = 20 * time.Millisecond
 )
 
@@ -33,18 +34,19 @@
 	st    *catalog.PlanStage
 	d     *data
 
-	cost    StageCost
-	soFar   verdict.Verdict
+	cost StageCost
+	// combined is the combination of the verdicts of all attempts.
+	combined verdict.Verdict
+	// exclude lists the IDs of the targets that the stage was sent to.
 	exclude []string
-	// failed is the number of attempts that count against the stage's limit:
-	// those that may have run, but for streams that brought tokens before they
-	// broke.
+	// failed is the number of attempts that count against the stage's limit: failed
+	// ones that may have run, except streams that returned tokens before they failed.
 	failed int
 	// lastErr is the error of the last attempt that failed.
 	lastErr error
 }
 
-// run returns the combined verdict of the attempts.
+// run runs the stage and returns the combined verdict of its attempts.
 func (s *stageRun) run(ctx context.Context) (verdict.Verdict, error) {
 	s.cost.Stage = s.st.Name
 	var err error
@@ -53,7 +55,7 @@
 	} else {
 		err = s.callWithHedge(ctx)
 	}
-	return s.soFar, err
+	return s.combined, err
 }
 
 func (s *stageRun) key() string { return stageKey(s.req, s.index) }
@@ -66,12 +68,13 @@
 	})
 }
 
-// mayRetry decides whether another attempt is allowed after err. What may have
-// run is repeated only for idempotent pipelines; a refusal by the target is
-// always safe to send elsewhere.
+// mayRetry reports whether another attempt is allowed after err, and if so uses up one
+// retry of the pool's budget. A call that may have run is repeated only in idempotent
+// pipelines; one that did not run can always be sent to another target. A nil err stands
+// for a call that is still running.
 func (s *stageRun) mayRetry(ctx context.Context, err error) bool {
 	notRun := err != nil && verdict.Of(err) == verdict.NotRun
-	if ctx.Err() != nil || s.failed >= s.st.Attempts || s.cost.Attempts >= attemptsFactor*s.st.Attempts {
+	if ctx.Err() != nil || s.failed >= s.st.Attempts || s.cost.Attempts >= maxCallsFactor*s.st.Attempts {
 		return false
 	}
 	if !notRun && !s.req.Plan.Idempotent {
@@ -89,27 +92,27 @@
 	lease  *scheduler.Lease
 	start  time.Time
 	cancel context.CancelFunc
-	// had is the number of tokens before this stream.
-	had    int
-	answer []byte
-	err    error
+	// tokensBefore is the number of tokens received before this stream.
+	tokensBefore int
+	answer       []byte
+	err          error
 }
 
-// callWithHedge makes the call of a stage that answers in one piece. A second
-// call is started elsewhere when the first is slow; the first answer wins and
-// the loser is cancelled.
+// callWithHedge makes the call of a stage whose answer is not streamed. When the call
+// is slow, a second one is started on another target; the first answer is used and the
+// other call is cancelled.
 func (s *stageRun) callWithHedge(ctx context.Context) error {
 	path, body, err := s.encodeBody()
 	if err != nil {
 		return err
 	}
 	ended := make(chan *attempt, s.st.Attempts+1)
-	var flying []*attempt
-	defer func() { s.cancelLosers(flying) }()
+	var inFlight []*attempt
+	defer func() { s.cancelOutstanding(inFlight) }()
 	start := func() error {
 		a, err := s.start(ctx, path, body, ended)
 		if err == nil {
-			flying = append(flying, a)
+			inFlight = append(inFlight, a)
 		}
 		return err
 	}
@@ -121,31 +124,31 @@
 	for {
 		select {
 		case a := <-ended:
-			flying = without(flying, a)
+			inFlight = removeAttempt(inFlight, a)
 			if s.finish(a) {
 				return nil
 			}
-			if len(flying) > 0 {
+			if len(inFlight) > 0 {
 				continue
 			}
 			if !s.mayRetry(ctx, a.err) {
 				return a.err
 			}
 			if err := start(); err != nil {
-				return s.firstCause(err)
+				return s.firstError(err)
 			}
 		case <-hedge.C:
 			if s.mayHedge(ctx) {
-				// A failed start leaves the first call as it was.
+				// If the hedge cannot start, the first call goes on.
 				_ = start()
 			}
 		}
 	}
 }
 
-// firstCause prefers the failure of an attempt over the later failure to find
-// a target for the next one.
-func (s *stageRun) firstCause(err error) error {
+// firstError returns the error of the last failed attempt if there is one, and otherwise
+// err, the error of starting the next attempt.
+func (s *stageRun) firstError(err error) error {
 	if s.lastErr != nil {
 		return s.lastErr
 	}
@@ -161,6 +164,8 @@
 	return path, body, nil
 }
 
+// hedgeDelay returns the time after which the call counts as slow: the deadline if the
+// service time is unknown or the pipeline is not idempotent.
 func (s *stageRun) hedgeDelay() time.Duration {
 	_, high := s.r.sched.Estimate(s.key())
 	if high == 0 || !s.req.Plan.Idempotent {
@@ -173,6 +178,7 @@
 	return s.req.Plan.Idempotent && s.mayRetry(ctx, nil)
 }
 
+// start waits for a target and starts a call there, whose attempt is sent to ended.
 func (s *stageRun) start(ctx context.Context, path string, body []byte, ended chan<- *attempt) (*attempt, error) {
 	lease, err := s.acquire(ctx)
 	if err != nil {
@@ -200,22 +206,22 @@
 	}
 }
 
-// finish settles an ended attempt and reports whether it gave the answer.
+// finish processes an ended attempt and reports whether it returned a valid answer.
 func (s *stageRun) finish(a *attempt) bool {
 	defer a.cancel()
 	took := time.Since(a.start)
 	if a.err == nil {
-		if err := s.d.take(s.st, a.answer); err != nil {
+		if err := s.d.store(s.st, a.answer); err != nil {
 			a.err = verdict.Wrap(err, verdict.MayHaveRun, verdict.TargetFailed, "the answer does not fit the stage").
 				At(s.st.Name, a.lease.Target.ID)
 		}
 	}
 	release(a.lease, a.err)
-	s.r.obs.StageCall(s.st.Pool, s.st.Name, took, a.err)
-	s.soFar = s.soFar.Combine(verdict.Of(a.err))
+	s.r.observer.StageCall(s.st.Pool, s.st.Name, took, a.err)
+	s.combined = s.combined.Combine(verdict.Of(a.err))
 	if a.err != nil {
 		s.countFailure(a.err)
-		s.waste(took)
+		s.recordWaste(took)
 		s.logFailure(a)
 		return false
 	}
@@ -236,22 +242,24 @@
 		"attempt", a.number, "verdict", verdict.Of(a.err).String(), "code", verdict.CodeOf(a.err), "err", a.err)
 }
 
-// cancelLosers ends the calls whose answer is no longer wanted.
-func (s *stageRun) cancelLosers(flying []*attempt) {
-	for _, a := range flying {
+// cancelOutstanding cancels the calls in flight, whose answers are not needed any more.
+func (s *stageRun) cancelOutstanding(inFlight []*attempt) {
+	for _, a := range inFlight {
 		a.cancel()
 		a.lease.Release(scheduler.Abandoned)
-		s.soFar = s.soFar.Combine(verdict.MayHaveRun)
-		s.waste(time.Since(a.start))
+		s.combined = s.combined.Combine(verdict.MayHaveRun)
+		s.recordWaste(time.Since(a.start))
 	}
 }
 
-func (s *stageRun) waste(took time.Duration) {
+// recordWaste adds time to the wasted time of the stage.
+func (s *stageRun) recordWaste(took time.Duration) {
 	s.cost.WastedMS += ms(took)
-	s.r.obs.Wasted(s.st.Pool, s.st.Name, took)
+	s.r.observer.Wasted(s.st.Pool, s.st.Name, took)
 }
 
-// release ends a lease by how its call ended.
+// release releases a lease with the outcome of its call. After a refusal it also passes
+// on how long the target wants no calls.
 func release(l *scheduler.Lease, err error) {
 	o := outcomeOf(err)
 	if o == scheduler.Refused {
@@ -260,6 +268,7 @@
 	l.Release(o)
 }
 
+// outcomeOf returns the outcome for the target's state of a call that ended with err.
 func outcomeOf(err error) scheduler.Outcome {
 	if err == nil {
 		return scheduler.Succeeded
@@ -276,7 +285,8 @@
 	return scheduler.Failed
 }
 
-func without(list []*attempt, a *attempt) []*attempt {
+// removeAttempt returns a copy of list without a.
+func removeAttempt(list []*attempt, a *attempt) []*attempt {
 	out := list[:0:0]
 	for _, x := range list {
 		if x != a {
@@ -286,16 +296,17 @@
 	return out
 }
 
+// ms converts a duration to milliseconds.
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// generate streams a generate stage. A stream that breaks is resumed at
-// another engine after the last token that arrived.
+// generate runs a generate stage. A stream that fails is resumed on another engine after
+// the last token received.
 func (s *stageRun) generate(ctx context.Context) error {
 	sink := &tokenSink{emit: s.emit()}
 	for {
 		a, err := s.stream(ctx, sink)
 		if err != nil {
-			return s.firstCause(err)
+			return s.firstError(err)
 		}
 		if s.finishStream(a, sink) {
 			return nil
@@ -309,7 +320,7 @@
 	}
 }
 
-// emit returns the caller's sink for tokens if this is the last stage.
+// emit returns the request's Emit if this is the last stage, and otherwise nil.
 func (s *stageRun) emit() func(dispatch.Token) error {
 	if s.index == len(s.req.Plan.Stages)-1 {
 		return s.req.Emit
@@ -317,6 +328,8 @@
 	return nil
 }
 
+// stream makes one streamed call, and returns when the stream has ended. The error is that
+// of starting the call; the error of the stream is in the attempt.
 func (s *stageRun) stream(ctx context.Context, sink *tokenSink) (*attempt, error) {
 	lease, err := s.acquire(ctx)
 	if err != nil {
@@ -332,50 +345,51 @@
 	}
 	call := s.call(a, PathGenerate, body)
 	stall := dispatch.Stall{First: firstTokenStall, Next: nextTokenStall}
-	a.had = len(sink.tokens)
-	a.err = s.r.calls.Stream(ctx, call, a.had, stall, sink.take)
+	a.tokensBefore = len(sink.tokens)
+	a.err = s.r.calls.Stream(ctx, call, a.tokensBefore, stall, sink.add)
 	return a, nil
 }
 
+// finishStream processes an ended stream and reports whether it completed the text.
 func (s *stageRun) finishStream(a *attempt, sink *tokenSink) bool {
 	took := time.Since(a.start)
 	if sink.callerErr != nil {
 		a.err = verdict.Wrap(sink.callerErr, verdict.MayHaveRun, verdict.Canceled, "the caller left").At(s.st.Name, a.lease.Target.ID)
 	}
 	release(a.lease, a.err)
-	s.r.obs.StageCall(s.st.Pool, s.st.Name, took, a.err)
-	s.soFar = s.soFar.Combine(verdict.Of(a.err))
+	s.r.observer.StageCall(s.st.Pool, s.st.Name, took, a.err)
+	s.combined = s.combined.Combine(verdict.Of(a.err))
 	s.cost.Tokens = len(sink.tokens)
 	if a.err != nil {
-		// The tokens that arrived are used by the resumed stream; time without
-		// any token was wasted.
+		// A resumed stream continues after the received tokens, so the time of this
+		// one is wasted only if it returned no token.
 		s.lastErr = a.err
-		if len(sink.tokens) > a.had {
+		if len(sink.tokens) > a.tokensBefore {
 			s.cost.TargetMS += ms(took)
 		} else {
 			s.countFailure(a.err)
-			s.waste(took)
+			s.recordWaste(took)
 		}
 		s.logFailure(a)
 		return false
 	}
 	s.cost.TargetMS += ms(took)
-	if err := s.d.takeTokens(s.st, sink.tokens); err != nil {
+	if err := s.d.storeTokens(s.st, sink.tokens); err != nil {
 		a.err = verdict.Wrap(err, verdict.MayHaveRun, verdict.Internal, "the text cannot be encoded")
 		return false
 	}
 	return true
 }
 
-// tokenSink collects tokens over all streams of one generation.
+// tokenSink collects the tokens of all streams of one generation, and passes them to emit
+// if that is not nil. callerErr is the last error of emit.
 type tokenSink struct {
 	tokens    []string
 	emit      func(dispatch.Token) error
 	callerErr error
 }
 
-func (t *tokenSink) take(tok dispatch.Token) error {
-
+func (t *tokenSink) add(tok dispatch.Token) error {
 	t.tokens = append(t.tokens, tok.Text)
 	if t.emit == nil {
 		return nil
