--- a/internal/flow/queue.go
+++ b/internal/flow/queue.go
@@ -64,7 +64,7 @@
 type accountQueue struct {
 	name  string
 	items itemHeap
-	// service is the sum of the costs of the popped items, from the floor on.
+	// service starts at the floor; each popped item adds its cost.
 	service time.Duration
 }
 
--- a/internal/pipeline/stage.go
+++ b/internal/pipeline/stage.go
@@ -178,7 +178,8 @@
 	return s.req.Plan.Idempotent && s.mayRetry(ctx, nil)
 }
 
-// start waits for a target and starts a call there, whose attempt is sent to ended.
+// start waits for a target and starts a call there. The attempt is sent to ended when the
+// call has ended.
 func (s *stageRun) start(ctx context.Context, path string, body []byte, ended chan<- *attempt) (*attempt, error) {
 	lease, err := s.acquire(ctx)
 	if err != nil {
@@ -259,7 +260,7 @@
 }
 
 // release releases a lease with the outcome of its call. After a refusal it also passes
-// on how long the target wants no calls.
+// on the time for which the target requested no calls.
 func release(l *scheduler.Lease, err error) {
 	o := outcomeOf(err)
 	if o == scheduler.Refused {
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -35,7 +35,7 @@
 	Limit int
 	// Service is the mean service time of the recent calls.
 	Service time.Duration
-	// Leaving is whether the target is being removed; it gets no new calls.
+	// Leaving is whether the target is being drained or removed; it gets no new calls.
 	Leaving bool
 	// Down is whether the target gets no calls for now; see Breaker.
 	Down bool
