--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -14,7 +14,8 @@
 	"topazmoor/internal/peer/peerpb"
 )
 
-// network is a lossless network of states; blocked pairs lose everything.
+// network delivers the messages between states without loss or delay, except
+// between pairs for which blocked returns true: those lose all messages.
 type network struct {
 	now     time.Time
 	states  map[string]*State
@@ -57,7 +58,7 @@
 	}
 }
 
-// health returns how many nodes hold each belief about node i.
+// health returns the number of nodes by the health that they attribute to node i.
 func (n *network) health(i int) map[Health]int {
 	out := make(map[Health]int)
 	for a, s := range n.states {
@@ -99,14 +100,14 @@
 	c.Assert(n.health(3), qt.DeepEquals, map[Health]int{Alive: 9})
 }
 
-// TestMembershipPartitionHeals cuts the nodes into halves until each takes the
-// other as dead.
+// TestMembershipPartitionHeals partitions the nodes until each side has marked the
+// other dead, and checks that the views merge again once the partition ends.
 func TestMembershipPartitionHeals(t *testing.T) {
 	c := qt.New(t)
 	n := newNetwork(10)
 	n.run(30 * time.Second)
 	for _, st := range n.states {
-		// Without seeds only the trial of dead members can bring them together.
+		// Without seeds only the anti-entropy with dead members reconnects the sides.
 		st.SetSeeds(nil)
 	}
 	left := func(a string) bool { return a == addr(0) || a == addr(1) || a == addr(2) || a == addr(3) }
@@ -137,8 +138,8 @@
 	packets := n.states[addr(2)].SetRevision(7)
 	c.Assert(packets, qt.HasLen, announceFanout)
 	for _, p := range packets {
-		_, heard := n.states[p.Addr].Receive(n.now, addr(2), p.Msg)
-		c.Assert(heard, qt.Equals, int64(7))
+		_, revision := n.states[p.Addr].Receive(n.now, addr(2), p.Msg)
+		c.Assert(revision, qt.Equals, int64(7))
 	}
 	c.Assert(n.states[addr(2)].SetRevision(7), qt.HasLen, 0)
 }
@@ -154,10 +155,10 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		msg, ok := open(key, b)
 		if ok && msg == nil {
-			t.Fatal("opened to nothing")
+			t.Fatal("open returned no message")
 		}
 		if _, forged := open([]byte("other key"), b); forged {
-			t.Fatal("opened under another key")
+			t.Fatal("open accepted a datagram sealed with another key")
 		}
 	})
 }
--- a/internal/membership/news.go
+++ b/internal/membership/news.go
@@ -10,9 +10,10 @@
 	"topazmoor/internal/routing"
 )
 
-// learn takes in news of a member if it is newer than what is known: a higher
-// incarnation, or a worse state of the same one.
-func (s *State) learn(now time.Time, n *peerpb.Member) {
+// mergeUpdate applies an update about a member if it supersedes the view: a higher
+// incarnation, or a worse health of the same incarnation. An update about this
+// node may be refuted instead.
+func (s *State) mergeUpdate(now time.Time, n *peerpb.Member) {
 	if n.Name == s.self.Name {
 		s.refute(n)
 		return
@@ -22,8 +23,8 @@
 		return
 	}
 	if m == nil && Health(n.State) > Suspect {
-		// Gone before this node knew it; taking it in would keep it in
-		// circulation for ever.
+		// The member is dead or left and not in the view. If every node added it
+		// again after ForgetAfter, the update would circulate for ever.
 		return
 	}
 	if m == nil {
@@ -32,73 +33,79 @@
 	}
 	m.Name, m.Addr, m.DataCentre = n.Name, n.Addr, n.DataCentre
 	m.Incarnation, m.Health, m.changed = n.Incarnation, Health(n.State), now
-	s.spread(m.Member)
+	s.enqueueUpdate(m.Member)
 }
 
-// refute answers news that this node is not alive with a higher incarnation.
+// refute enqueues an update with a higher incarnation if n states that this node
+// is not alive. A node that has left refutes nothing.
 func (s *State) refute(n *peerpb.Member) {
 	if s.self.Health != Alive || Health(n.State) == Alive || n.Incarnation < s.self.Incarnation {
 		return
 	}
 	s.self.Incarnation = n.Incarnation + 1
-	s.spread(s.self)
+	s.enqueueUpdate(s.self)
 }
 
-// spread queues news; it replaces older news of the same member.
-func (s *State) spread(m Member) {
-	item := &newsItem{member: toMessage(m)}
-	for i, n := range s.news {
+// enqueueUpdate queues an update about m for sending; it replaces a queued update
+// about the same member.
+func (s *State) enqueueUpdate(m Member) {
+	item := &update{member: toMessage(m)}
+	for i, n := range s.updates {
 		if n.member.Name == m.Name {
-			s.news[i] = item
+			s.updates[i] = item
 			return
 		}
 	}
-	s.news = append(s.news, item)
+	s.updates = append(s.updates, item)
 }
 
-// packet builds a message with the news that was sent least.
+// packet builds a message with the queued updates that were sent least often.
 func (s *State) packet(addr string, kind peerpb.Datagram_Kind, seq uint32, subject string) Packet {
 	msg := &peerpb.Datagram{Kind: kind, From: s.self.Name, Seq: seq, Subject: subject, Revision: s.revision}
-	sort.SliceStable(s.news, func(i, j int) bool { return s.news[i].sent < s.news[j].sent })
-	for _, n := range s.news[:min(len(s.news), newsPerMessage)] {
+	sort.SliceStable(s.updates, func(i, j int) bool { return s.updates[i].sent < s.updates[j].sent })
+	for _, n := range s.updates[:min(len(s.updates), updatesPerMessage)] {
 		n.sent++
 		msg.News = append(msg.News, n.member)
 	}
-	s.dropOldNews()
+	s.dropSpentUpdates()
 	return Packet{Addr: addr, Msg: msg}
 }
 
-func (s *State) dropOldNews() {
-	limit := newsFactor
+// dropSpentUpdates removes the updates that were sent often enough to reach all
+// nodes with high probability; see retransmitFactor.
+func (s *State) dropSpentUpdates() {
+	limit := retransmitFactor
 	for n := len(s.members) + 1; n > 1; n /= 2 {
-		limit += newsFactor
+		limit += retransmitFactor
 	}
-	keep := s.news[:0]
-	for _, n := range s.news {
+	keep := s.updates[:0]
+	for _, n := range s.updates {
 		if n.sent < limit {
 			keep = append(keep, n)
 		}
 	}
-	s.news = keep
+	s.updates = keep
 }
 
-// sync builds a message that presents this node and the hash of its view.
-func (s *State) sync(addr string) Packet {
+// syncPacket builds an anti-entropy message: this node's entry and the hash of its
+// view.
+func (s *State) syncPacket(addr string) Packet {
 	p := s.packet(addr, peerpb.Datagram_SYNC, 0, "")
 	p.Msg.Digest = s.digest()
 	p.Msg.News = append([]*peerpb.Member{toMessage(s.self)}, p.Msg.News...)
 	return p
 }
 
-// view builds messages with the whole view, in pieces that fit a datagram.
-func (s *State) view(addr string) []Packet {
+// viewPackets builds messages with the whole view, at most updatesPerMessage
+// members in each, so that each fits a datagram.
+func (s *State) viewPackets(addr string) []Packet {
 	all := []*peerpb.Member{toMessage(s.self)}
 	for _, m := range s.sorted() {
 		all = append(all, toMessage(m.Member))
 	}
 	var out []Packet
 	for len(all) > 0 {
-		n := min(len(all), newsPerMessage)
+		n := min(len(all), updatesPerMessage)
 		msg := &peerpb.Datagram{Kind: peerpb.Datagram_ANNOUNCE, From: s.self.Name, Revision: s.revision, News: all[:n]}
 		out = append(out, Packet{Addr: addr, Msg: msg})
 		all = all[n:]
@@ -106,8 +113,8 @@
 	return out
 }
 
-// digest hashes the members that are not gone: equal views have equal digests
-// whatever the order.
+// digest hashes this node and the members that are alive or suspect. It does not
+// depend on their order, so equal views have equal digests.
 func (s *State) digest() uint64 {
 	sum := memberHash(s.self)
 	for _, m := range s.members {
--- a/internal/membership/runner.go
+++ b/internal/membership/runner.go
@@ -16,10 +16,11 @@
 	"topazmoor/internal/peer/peerpb"
 )
 
-// macLen is the length of the HMAC behind a datagram.
+// macLen is the length in bytes of the truncated HMAC-SHA256 at the end of a
+// datagram.
 const macLen = 16
 
-// maxDatagram bounds a datagram, in bytes.
+// maxDatagram is the size of the receive buffer of a datagram, in bytes.
 const maxDatagram = 4 << 10
 
 // PacketConn sends and receives datagrams; a *net.UDPConn in production.
@@ -35,41 +36,45 @@
 	key      []byte
 	interval time.Duration
 	view     *blackboard.Cell[[]Member]
-	// heard is told of every peer that has a higher revision than this node.
-	heard func(addr string, revision int64)
-	log   *slog.Logger
+	// onHigherRevision is called for every message whose sender has a higher
+	// configuration revision than this node.
+	onHigherRevision func(addr string, revision int64)
+	log              *slog.Logger
 
-	mu    sync.Mutex
-	state *State
-	sent  Traffic
+	mu      sync.Mutex
+	state   *State
+	traffic Traffic
 }
 
-// Traffic counts the datagrams of a node.
+// Traffic counts the datagrams of a node and their bytes.
 type Traffic struct {
-	// Out and OutBytes were sent, In and InBytes received.
+	// Out and OutBytes count datagrams sent, In and InBytes authenticated
+	// datagrams received.
 	Out, OutBytes, In, InBytes int64
 }
 
-// NewRunner returns a runner that publishes the other nodes into view.
-func NewRunner(conn PacketConn, key []byte, st *State, view *blackboard.Cell[[]Member], heard func(string, int64), log *slog.Logger) *Runner {
-	return &Runner{conn: conn, key: key, interval: st.cfg.Interval, state: st, view: view, heard: heard, log: log}
+// NewRunner returns a runner that publishes the other nodes in view and calls
+// onHigherRevision for each message from a node with a higher configuration
+// revision.
+func NewRunner(conn PacketConn, key []byte, st *State, view *blackboard.Cell[[]Member], onHigherRevision func(string, int64), log *slog.Logger) *Runner {
+	return &Runner{conn: conn, key: key, interval: st.cfg.Interval, state: st, view: view, onHigherRevision: onHigherRevision, log: log}
 }
 
-// Traffic returns the counts so far.
+// Traffic returns the counts since the start.
 func (r *Runner) Traffic() Traffic {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.sent
+	return r.traffic
 }
 
-// Self returns this node as it presents itself.
+// Self returns the member entry of this node.
 func (r *Runner) Self() Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Self()
 }
 
-// SetSeeds replaces the seeds.
+// SetSeeds replaces the seed addresses; see State.SetSeeds.
 func (r *Runner) SetSeeds(seeds []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,15 +86,15 @@
 	r.do(func(s *State) []Packet { return s.SetRevision(rev) })
 }
 
-// PingAll asks all nodes for their revisions.
+// PingAll pings all nodes; their answers carry their revisions.
 func (r *Runner) PingAll() {
 	r.do(func(s *State) []Packet { return s.PingAll(time.Now()) })
 }
 
-// Leave tells others that this node stops.
+// Leave announces to other nodes that this node leaves.
 func (r *Runner) Leave() { r.do((*State).Leave) }
 
-// do changes the state and sends what comes of it.
+// do applies f to the state, publishes the view and sends the packets of f.
 func (r *Runner) do(f func(*State) []Packet) {
 	r.mu.Lock()
 	packets := f(r.state)
@@ -98,7 +103,7 @@
 	r.send(packets)
 }
 
-// publish stores the view if it changed. It is called with the lock held.
+// publish stores the view if it changed. The caller holds mu.
 func (r *Runner) publish() {
 	next := r.state.Members()
 	old := r.view.Get()
@@ -148,19 +153,19 @@
 func (r *Runner) receive(b []byte, from net.Addr) {
 	msg, ok := open(r.key, b)
 	if !ok {
-		r.log.Debug("datagram refused", "from", from.String())
+		r.log.Debug("datagram authentication or decoding failed", "from", from.String())
 		return
 	}
 	r.mu.Lock()
-	r.sent.In++
-	r.sent.InBytes += int64(len(b))
+	r.traffic.In++
+	r.traffic.InBytes += int64(len(b))
 	packets, revision := r.state.Receive(time.Now(), from.String(), msg)
 	higher := revision > r.state.revision
 	r.publish()
 	r.mu.Unlock()
 	r.send(packets)
 	if higher {
-		r.heard(from.String(), revision)
+		r.onHigherRevision(from.String(), revision)
 	}
 }
 
@@ -172,14 +177,14 @@
 		}
 		b, err := seal(r.key, p.Msg)
 		if err != nil {
-			r.log.Error("datagram not encoded", "err", err)
+			r.log.Error("encode datagram failed", "err", err)
 			continue
 		}
-		// A lost datagram is like any other loss.
+		// The protocol tolerates lost datagrams, so a failed write is ignored.
 		_, _ = r.conn.WriteTo(b, addr)
 		r.mu.Lock()
-		r.sent.Out++
-		r.sent.OutBytes += int64(len(b))
+		r.traffic.Out++
+		r.traffic.OutBytes += int64(len(b))
 		r.mu.Unlock()
 	}
 }
@@ -193,7 +198,7 @@
 	return append(b, mac(key, b)...), nil
 }
 
-// open checks and decodes a datagram.
+// open checks the HMAC of a datagram and decodes it.
 func open(key, b []byte) (*peerpb.Datagram, bool) {
 	if len(b) < macLen {
 		return nil, false
@@ -206,6 +211,7 @@
 	return msg, proto.Unmarshal(body, msg) == nil
 }
 
+// mac returns the truncated HMAC of a datagram's body.
 func mac(key, body []byte) []byte {
 	m := hmac.New(sha256.New, key)
 	m.Write([]byte("datagram\x00"))
