--- a/internal/fleet/controller.go
+++ b/internal/fleet/controller.go
@@ -18,26 +18,28 @@
 )
 
 const (
-	// orderTable holds the last order of each engine.
+	// orderTable is the store table that holds the last order of each engine.
 	orderTable = "order"
-	// PathOrders is the path of an engine's order interface.
+	// PathOrders is the URL path at which an engine accepts orders.
 	PathOrders = "/v1/orders"
-	// orderTimeout bounds the sending of one order.
+	// orderTimeout bounds the HTTP request that sends one order.
 	orderTimeout = 3 * time.Second
-	// resend is the time between two sends of an order that is not done.
-	resend = 15 * time.Second
-	// scanLimit bounds one read of the orders.
+	// resendInterval is the minimum time between two sends of an order that the
+	// engine has not carried out.
+	resendInterval = 15 * time.Second
+	// scanLimit is the maximum number of orders that are read.
 	scanLimit = 10_000
 )
 
-// EngineOrder is the body of an order to an engine.
+// EngineOrder is the JSON body of an order sent to an engine.
 type EngineOrder struct {
-	// Fencing grows with each controller; an engine may refuse a lower one.
+	// Fencing is the epoch of the controller and increases with each new one; an
+	// engine may refuse an order whose number is lower than one that it received.
 	Fencing int64    `json:"fencing"`
 	Models  []string `json:"models"`
 }
 
-// Controller is the task of the control shard that balances models. It
+// Controller is the control-shard task that balances engines between models. It
 // implements control.Task.
 type Controller struct {
 	Tables store.Tables
@@ -49,18 +51,20 @@
 	// trail.
 	Node  string
 	NewID func() string
-	// Epoch returns the epoch under which the shard is owned.
+	// Epoch returns the epoch under which this node owns the shard.
 	Epoch  func() int64
 	Client *http.Client
 	Limits Limits
 	Log    *slog.Logger
 
-	mem  Memory
-	sent map[string]time.Time
+	mem Memory
+	// lastSent is the time of the last send, by engine ID.
+	lastSent map[string]time.Time
 }
 
-// Step implements control.Task: it sends the orders that are stored and not yet
-// done, and decides new ones, which the shard commits under its fence.
+// Step implements control.Task. It sends the stored orders that engines have not
+// carried out yet, and returns the writes of new orders, which the shard commits
+// under its fence.
 func (c *Controller) Step(ctx context.Context) ([]store.Condition, []store.Write, error) {
 	engines := c.Engines()
 	orders, err := c.orders(ctx)
@@ -79,7 +83,7 @@
 		if err != nil {
 			return nil, nil, eris.Wrap(err, "encode order")
 		}
-		c.Log.Info("order given", "engine", o.Engine, "models", o.Models, "reason", o.Reason)
+		c.Log.Info("engine order decided", "engine", o.Engine, "models", o.Models, "reason", o.Reason)
 		event := control.Event{
 			At: o.At, Node: c.Node, Kind: control.Ordered, Object: "engine/" + o.Engine,
 			Detail: "hold " + strings.Join(o.Models, ", ") + ": " + o.Reason,
@@ -93,6 +97,7 @@
 	return nil, writes, nil
 }
 
+// orders returns the last order of each engine from the store.
 func (c *Controller) orders(ctx context.Context) (map[string]Order, error) {
 	rows, err := c.Tables.Scan(ctx, orderTable, "", "", scanLimit)
 	if err != nil {
@@ -109,25 +114,28 @@
 	return out, nil
 }
 
-// send repeats each stored order until the host list shows that it is done.
+// send sends each stored order whose models differ from those that the host list
+// shows for the engine, at most once per resendInterval.
 func (c *Controller) send(ctx context.Context, engines []Engine, orders map[string]Order) {
-	if c.sent == nil {
-		c.sent = make(map[string]time.Time)
+	if c.lastSent == nil {
+		c.lastSent = make(map[string]time.Time)
 	}
 	for _, e := range engines {
 		o, ok := orders[e.ID]
-		if !ok || slices.Equal(o.Models, e.Models) || time.Since(c.sent[e.ID]) < resend {
+		if !ok || slices.Equal(o.Models, e.Models) || time.Since(c.lastSent[e.ID]) < resendInterval {
 			continue
 		}
-		c.sent[e.ID] = time.Now()
-		// The order is this controller's now, whoever decided it.
+		c.lastSent[e.ID] = time.Now()
+		// An earlier controller may have decided the order; it is sent under the
+		// epoch of this one.
 		o.Fencing = max(o.Fencing, c.Epoch())
 		if err := c.post(ctx, e, o); err != nil {
-			c.Log.Warn("order not taken yet", "engine", e.ID, "models", o.Models, "err", err)
+			c.Log.Warn("send engine order failed", "engine", e.ID, "models", o.Models, "err", err)
 		}
 	}
 }
 
+// post sends one order to an engine.
 func (c *Controller) post(ctx context.Context, e Engine, o Order) error {
 	body, err := json.Marshal(EngineOrder{Fencing: o.Fencing, Models: o.Models})
 	if err != nil {
--- a/internal/fleet/decide.go
+++ b/internal/fleet/decide.go
@@ -1,12 +1,14 @@
-// Package fleet gives orders to model engines: which models each is to hold, so
-// that a model whose queue grows gets engines from one that idles. Source:
+// Package fleet decides which models each model engine loads and sends the orders:
+// a model whose demand exceeds its slots gets an engine from a model with spare
+// slots. Source:
 // docs/design/011-stage-balance.md.
 //
-// Decide is pure. Controller applies it under a control shard: an order is made
-// durable under the shard's fence before it is sent, states a desired state,
-// and is read back and sent again until the engine has it. That makes it safe
-// at engines that ignore fencing numbers: whatever a replaced controller still
-// sends is corrected.
+// Decide does no I/O. Controller runs it as a task of a control shard. An order
+// states the desired state of an engine. It is committed to the store under the
+// shard's fence before it is sent, then read back and sent again until the host
+// list shows that the engine holds the models. So engines that ignore fencing
+// numbers are safe too: the current order overrides a late one from a controller
+// that was replaced.
 package fleet
 
 import (
@@ -21,44 +23,46 @@
 	ID, Addr, Pool string
 	Models         []string
 	Slots          int
-	// HonoursFencing: the engine refuses orders with an old fencing number.
+	// HonoursFencing is set if the engine refuses orders with an old fencing
+	// number.
 	HonoursFencing bool
 }
 
-// ModelKey names a model within a pool.
+// ModelKey identifies a model within a pool.
 type ModelKey struct{ Pool, Model string }
 
-// Demand is the number of calls that wait or run, by model, over all nodes.
+// Demand is the number of calls waiting or running on all nodes, by model.
 type Demand map[ModelKey]float64
 
 // Order is the desired state of an engine.
 type Order struct {
 	Engine string `json:"engine"`
-	// Models is what the engine is to hold.
+	// Models lists the models that the engine must hold.
 	Models []string `json:"models"`
-	// Reason is for operators.
+	// Reason explains the order to operators.
 	Reason string `json:"reason"`
-	// Fencing is the epoch of the controller that gave the order.
+	// Fencing is the epoch of the controller that issued the order.
 	Fencing int64     `json:"fencing"`
 	At      time.Time `json:"at"`
 }
 
-// Limits of the decisions.
+// Limits holds the thresholds and bounds of Decide.
 type Limits struct {
-	// ShortAbove is the demand a slot above which a model is short of engines,
-	// and IdleBelow the one below which it may give one up, counted after it
-	// did. The gap between them is the hysteresis.
+	// A model is short of engines if its demand per slot exceeds ShortAbove. A
+	// model may give up an engine if its demand per remaining slot is then at
+	// most IdleBelow. The gap between the two is the hysteresis.
 	ShortAbove, IdleBelow float64
-	// Rounds is how many rounds in a row a model must be short.
+	// Rounds is the number of consecutive rounds in which a model must be short
+	// before it gets an engine.
 	Rounds int
-	// Cooldown is the least time between two orders to one engine: a load costs
-	// the time to load and the cache.
+	// Cooldown is the minimum time between two orders to one engine: loading a
+	// model takes time and discards the engine's cache.
 	Cooldown time.Duration
-	// Loading is how many loads may be under way at once; it holds the rate
-	// limit of the weight store.
+	// Loading is the maximum number of concurrent loads of models; it keeps them
+	// within the rate limit of the weight store.
 	Loading int
-	// LoadTime is how long a load takes at most; an order older than that is
-	// not counted as under way.
+	// LoadTime is the longest time that a load takes. An older order does not
+	// count against Loading.
 	LoadTime time.Duration
 }
 
@@ -67,26 +71,27 @@
 	ShortAbove: 1.25, IdleBelow: 0.6, Rounds: 3, Cooldown: 3 * time.Minute, Loading: 1, LoadTime: 2 * time.Minute,
 }
 
-// Memory is what Decide keeps between rounds.
+// Memory is the state that Decide keeps between rounds.
 type Memory struct {
-	// Short counts the rounds in a row in which a model was short.
+	// Short is the number of consecutive rounds in which a model was short.
 	Short map[ModelKey]int
 }
 
-// Decide returns the orders of one round. orders holds the last order of each
-// engine.
+// Decide returns the new orders of one round: at most one per short model, as long
+// as Loading allows, starting with the model that has the highest demand per slot.
+// orders holds the last order of each engine.
 func Decide(now time.Time, lim Limits, engines []Engine, demand Demand, orders map[string]Order, mem *Memory) []Order {
 	slots, copies := capacity(engines, orders)
 	short := mem.short(lim, demand, slots)
-	free := lim.Loading - underWay(now, lim, engines, orders)
-	// The shortest model first.
-	sort.Slice(short, func(i, j int) bool { return load(demand, slots, short[i]) > load(demand, slots, short[j]) })
+	allowed := lim.Loading - pendingLoads(now, lim, engines, orders)
+	// The model with the highest demand per slot first.
+	sort.Slice(short, func(i, j int) bool { return slotLoad(demand, slots, short[i]) > slotLoad(demand, slots, short[j]) })
 	var out []Order
 	for _, k := range short {
-		if len(out) >= free {
+		if len(out) >= allowed {
 			break
 		}
-		if o, ok := give(now, lim, k, engines, demand, slots, copies, orders); ok {
+		if o, ok := reassign(now, lim, k, engines, demand, slots, copies, orders); ok {
 			out = append(out, o)
 			mem.Short[k] = 0
 		}
@@ -94,15 +99,15 @@
 	return out
 }
 
-// short updates the counts and returns the models that were short for long
-// enough.
+// short updates the counts in mem.Short and returns the models that were
+// short for at least Rounds rounds.
 func (mem *Memory) short(lim Limits, demand Demand, slots map[ModelKey]float64) []ModelKey {
 	if mem.Short == nil {
 		mem.Short = make(map[ModelKey]int)
 	}
 	var out []ModelKey
 	for k, d := range demand {
-		if d == 0 || load(demand, slots, k) <= lim.ShortAbove {
+		if d == 0 || slotLoad(demand, slots, k) <= lim.ShortAbove {
 			delete(mem.Short, k)
 			continue
 		}
@@ -114,8 +119,8 @@
 	return out
 }
 
-// capacity counts slots and copies by model. An engine whose last order takes a
-// model away is no copy of it any more, however long the order takes.
+// capacity counts slots and copies by model. An engine whose last order no longer
+// lists a model does not count for it, even if the engine still holds it.
 func capacity(engines []Engine, orders map[string]Order) (slots map[ModelKey]float64, copies map[ModelKey]int) {
 	slots, copies = make(map[ModelKey]float64), make(map[ModelKey]int)
 	for _, e := range engines {
@@ -125,7 +130,7 @@
 				continue
 			}
 			k := ModelKey{e.Pool, m}
-			// An engine with several models shares its slots among them.
+			// The slots of an engine are split evenly among its models.
 			slots[k] += float64(e.Slots) / float64(len(e.Models))
 			copies[k]++
 		}
@@ -133,15 +138,17 @@
 	return slots, copies
 }
 
-func load(d Demand, slots map[ModelKey]float64, k ModelKey) float64 {
+// slotLoad returns the demand of a model per slot, or +Inf without slots.
+func slotLoad(d Demand, slots map[ModelKey]float64, k ModelKey) float64 {
 	if slots[k] == 0 {
 		return math.Inf(1)
 	}
 	return d[k] / slots[k]
 }
 
-// underWay counts the engines that have not done their last order yet.
-func underWay(now time.Time, lim Limits, engines []Engine, orders map[string]Order) int {
+// pendingLoads counts the engines that don't hold the models of their last order
+// yet, if that order is younger than LoadTime.
+func pendingLoads(now time.Time, lim Limits, engines []Engine, orders map[string]Order) int {
 	n := 0
 	for _, e := range engines {
 		if o, ok := orders[e.ID]; ok && !slices.Equal(o.Models, e.Models) && now.Sub(o.At) < lim.LoadTime {
@@ -151,10 +158,11 @@
 	return n
 }
 
-// give chooses an engine for a model that is short: the one whose present model
-// can spare it most. A model never gives its last copy.
-func give(now time.Time, lim Limits, want ModelKey, engines []Engine, d Demand, slots map[ModelKey]float64, copies map[ModelKey]int, orders map[string]Order) (Order, bool) {
-	best, bestLoad := -1, math.Inf(1)
+// reassign chooses an engine for the short model want: the one whose current model
+// has the lowest demand per slot without it. A model keeps at least one copy. It
+// considers only engines of the same pool that hold a single model.
+func reassign(now time.Time, lim Limits, want ModelKey, engines []Engine, d Demand, slots map[ModelKey]float64, copies map[ModelKey]int, orders map[string]Order) (Order, bool) {
+	best, lowest := -1, math.Inf(1)
 	for i, e := range engines {
 		if e.Pool != want.Pool || len(e.Models) != 1 || e.Models[0] == want.Model {
 			continue
@@ -163,12 +171,12 @@
 			continue
 		}
 		from := ModelKey{e.Pool, e.Models[0]}
-		left := slots[from] - float64(e.Slots)
-		if copies[from] < 2 || left <= 0 {
+		remaining := slots[from] - float64(e.Slots)
+		if copies[from] < 2 || remaining <= 0 {
 			continue
 		}
-		if after := d[from] / left; after <= lim.IdleBelow && after < bestLoad {
-			best, bestLoad = i, after
+		if after := d[from] / remaining; after <= lim.IdleBelow && after < lowest {
+			best, lowest = i, after
 		}
 	}
 	if best < 0 {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestOracleDecideNeverLosesAModel plays random demand against engines that
-// obey, and demands that no model loses its last copy and that no more loads are
-// under way than allowed.
+// TestOracleDecideNeverLosesAModel runs rounds of random demand with engines that
+// carry out each order at once. No model may lose its last copy, and no round may
+// give more orders than Limits.Loading allows.
 func TestOracleDecideNeverLosesAModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		models := []string{"a", "b", "c"}
@@ -86,7 +86,7 @@
 			}
 			out := decide(now, engines, d, orders, mem)
 			if len(out) > DefaultLimits.Loading {
-				t.Fatalf("%d loads at once", len(out))
+				t.Fatalf("%d orders in one round", len(out))
 			}
 			for _, o := range out {
 				orders[o.Engine] = o
