--- a/internal/blackboard/blackboard.go
+++ b/internal/blackboard/blackboard.go
@@ -1,7 +1,7 @@
-// Package blackboard holds the only state that the controllers of one node
-// share: typed, versioned snapshots. A controller reads the cells it depends
-// on, decides, and replaces the cells it owns. Snapshots are never changed
-// after they were stored, so readers need no lock.
+// Package blackboard provides the only state that the controllers of one node
+// share: cells with typed, versioned snapshots. A controller reads the cells that
+// it depends on and replaces the snapshots of the cells that it owns. A stored
+// snapshot is never modified, so readers need no lock.
 package blackboard
 
 import (
@@ -12,7 +12,7 @@
 // Cell holds one snapshot of type T and its version. The zero Cell holds the
 // zero T at version 0. All methods may be called concurrently.
 type Cell[T any] struct {
-	cur atomic.Pointer[snapshot[T]]
+	current atomic.Pointer[snapshot[T]]
 
 	mu      sync.Mutex
 	changed chan struct{}
@@ -25,7 +25,7 @@
 
 // Load returns the current snapshot and its version.
 func (c *Cell[T]) Load() (T, uint64) {
-	s := c.cur.Load()
+	s := c.current.Load()
 	if s == nil {
 		var zero T
 		return zero, 0
@@ -39,18 +39,19 @@
 	return v
 }
 
-// Store replaces the snapshot and wakes all who wait on Changed.
+// Store replaces the snapshot and closes the channel that Changed returned.
 func (c *Cell[T]) Store(v T) {
 	c.Update(func(T) T { return v })
 }
 
-// Update replaces the snapshot by f of the current one. Updates of one cell
-// run one after another, so none is lost. f must not change its argument.
+// Update replaces the snapshot with the result of f, called with the current
+// snapshot. Updates of one cell are serialised, so none is lost. f must not modify
+// its argument.
 func (c *Cell[T]) Update(f func(T) T) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	old, version := c.Load()
-	c.cur.Store(&snapshot[T]{value: f(old), version: version + 1})
+	c.current.Store(&snapshot[T]{value: f(old), version: version + 1})
 	if c.changed != nil {
 		close(c.changed)
 		c.changed = nil
