--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -14,7 +14,7 @@
 	"topazmoor/internal/standin/memnet"
 )
 
-// countedConn counts the bytes of a connection both ways.
+// countedConn counts the bytes of a connection in both directions.
 type countedConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -32,8 +32,9 @@
 	return n, err
 }
 
-// An order of six pieces that each read the six results of the stage before, at a former
-// whose pool has three ranks: 502 bytes both ways, 53 us for both nodes.
+// BenchmarkOrderOnTheLink sends orders of six pieces, each with the six results of the previous stage
+// as inputs, to a node whose pool reports three wait times. An order costs 502 bytes in both
+// directions together and 53 us for both nodes.
 func BenchmarkOrderOnTheLink(b *testing.B) {
 	bytes := &atomic.Int64{}
 	nw := memnet.New()
@@ -67,7 +68,7 @@
 	b.ReportMetric(float64(bytes.Load())/float64(b.N), "bytes/order")
 }
 
-// instantStages makes orders at once.
+// instantStages completes orders at once.
 type instantStages struct{ slowStages }
 
 func (*instantStages) Produce(_ context.Context, o stagebatch.Order, accepted func(stagebatch.Waits)) (stagebatch.Result, error) {
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -14,17 +14,17 @@
 	"topazmoor/internal/scheduler"
 )
 
-// callTimeout bounds one call when its context has no earlier deadline.
+// callTimeout bounds one call whose context has no earlier deadline.
 const callTimeout = 5 * time.Second
 
-// idleAfter is how long an unused connection is kept.
-const idleAfter = time.Minute
+// idleTimeout is the time after which an unused connection is closed.
+const idleTimeout = time.Minute
 
-// Dial opens a connection.
+// Dial opens a connection, as net.Dialer.DialContext does.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Client calls other nodes. It keeps one connection to each node that it
-// called lately. It is safe for concurrent use.
+// Client calls other nodes. It keeps one connection to each node that it called
+// within idleTimeout. It is safe for concurrent use.
 type Client struct {
 	dial     Dial
 	key      []byte
@@ -35,32 +35,37 @@
 	sessions map[string]*session
 }
 
-// session is the connection to one node.
+// session holds the connection to one node.
 type session struct {
-	// lock holds one token; a channel, so that who waits for a connection that
-	// is being made can give up.
+	// lock guards the fields below. It is a channel of capacity 1, so that a
+	// caller that waits for a connection to be established can stop waiting.
 	lock chan struct{}
-	mux  *muxConn
+	// mux is nil until the first connection is established.
+	mux *muxConn
+	// used is the time of the last request for the connection.
 	used time.Time
 }
 
-// NewClient returns a Client that presents itself as node. versions exchanges
-// configuration versions with orders; nil for not.
+// NewClient returns a Client that sends node as its name. versions exchanges
+// configuration versions along with orders; nil disables that.
 func NewClient(dial Dial, key []byte, node string, versions Versions) *Client {
 	if versions == nil {
-		versions = unversioned{}
+		versions = noVersions{}
 	}
 	return &Client{dial: dial, key: key, node: node, versions: versions, sessions: make(map[string]*session)}
 }
 
-// Close drops all connections.
+// Close closes all connections that are not being established.
 func (c *Client) Close() { c.closeIf(func(*session) bool { return true }) }
 
-// CloseIdle drops connections that were not used lately.
+// CloseIdle closes the connections without open streams that were not requested
+// within idleTimeout.
 func (c *Client) CloseIdle(now time.Time) {
-	c.closeIf(func(s *session) bool { return now.Sub(s.used) > idleAfter && s.mux.NumStreams() == 0 })
+	c.closeIf(func(s *session) bool { return now.Sub(s.used) > idleTimeout && s.mux.NumStreams() == 0 })
 }
 
+// closeIf closes the connections for which drop returns true. It skips sessions
+// whose lock is held.
 func (c *Client) closeIf(drop func(*session) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,7 +83,8 @@
 	}
 }
 
-// connection returns the connection to the node at addr, connecting if needed.
+// connection returns the connection to the node at addr. It establishes one if
+// there is none or the last one has ended.
 func (c *Client) connection(ctx context.Context, addr string) (*muxConn, error) {
 	c.mu.Lock()
 	s := c.sessions[addr]
@@ -105,9 +111,9 @@
 	return mux, nil
 }
 
-// retire makes the next call to a node use a new connection: this one may have gone
-// silent for good, while new ones work. Calls on it go on; it is closed after the
-// last of them, or when its keep-alives fail.
+// retire makes the next call to a node use a new connection: mux may be broken
+// although new connections work. Calls in progress on mux continue. It is closed
+// after the last of them, or when its keep-alives fail.
 func (c *Client) retire(addr string, mux *muxConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,7 +124,7 @@
 	select {
 	case s.lock <- struct{}{}:
 	default:
-		// It is being replaced.
+		// The session is locked: its connection is being replaced.
 		return
 	}
 	defer func() { <-s.lock }()
@@ -129,18 +135,20 @@
 	go closeWhenUnused(mux)
 }
 
-// unusedPoll is how often a retired connection is looked at.
-const unusedPoll = time.Second
+// retiredPollInterval is the interval at which a retired connection is checked for open
+// streams.
+const retiredPollInterval = time.Second
 
-// closeWhenUnused closes a connection after its last call.
+// closeWhenUnused closes a connection once it has no open streams.
 func closeWhenUnused(mux *muxConn) {
 	for mux.NumStreams() > 0 && !mux.IsClosed() {
-		time.Sleep(unusedPoll)
+		time.Sleep(retiredPollInterval)
 	}
-	// Nobody is left to be told.
+	// The connection is retired, so an error of Close is of no use.
 	_ = mux.Close()
 }
 
+// connect dials the node at addr and authenticates.
 func (c *Client) connect(ctx context.Context, addr string) (*muxConn, error) {
 	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
@@ -148,7 +156,8 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "connect to peer")
 	}
-	// A peer that is frozen accepts connections and says nothing.
+	// The host of a paused peer still accepts connections, but the handshake gets
+	// no answer.
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	if _, err := handshake(conn, c.key, c.node, true); err != nil {
 		conn.Close()
@@ -160,20 +169,21 @@
 	return newMux(conn, true)
 }
 
-// call sends one request. The error is a *verdict.Error when the peer refused,
-// another error when no answer came.
+// call sends one request and returns its first answer. The error is a
+// *verdict.Error if the peer refused the request, and another error if no answer
+// arrived.
 func (c *Client) call(ctx context.Context, addr string, req *peerpb.Request) (*peerpb.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	x, err := c.ask(ctx, addr, req)
+	x, err := c.request(ctx, addr, req)
 	if err != nil {
 		return nil, err
 	}
 	return x.next()
 }
 
-// Changes asks a node for the changes after a revision. It returns nil when
-// the node does not remember them all.
+// Changes requests the configuration changes after a revision from the node at
+// addr. It returns nil if that node no longer has all of them.
 func (c *Client) Changes(ctx context.Context, addr string, after int64) ([]catalog.Change, error) {
 	resp, err := c.call(ctx, addr, &peerpb.Request{Call: &peerpb.Request_Changes{Changes: &peerpb.Since{Revision: after}}})
 	if err != nil {
@@ -182,7 +192,8 @@
 	return changesFrom(resp.GetChanges())
 }
 
-// Snapshot asks a node for its whole configuration.
+// Snapshot requests the whole configuration of the node at addr, with its
+// revision.
 func (c *Client) Snapshot(ctx context.Context, addr string) (int64, []catalog.Item, error) {
 	resp, err := c.call(ctx, addr, &peerpb.Request{Call: &peerpb.Request_Snapshot{Snapshot: &peerpb.Empty{}}})
 	if err != nil {
@@ -191,7 +202,7 @@
 	return snapshotFrom(resp.GetSnapshot())
 }
 
-// Demand asks a node for its demand by model.
+// Demand requests the demand by model of the node at addr.
 func (c *Client) Demand(ctx context.Context, addr string) ([]scheduler.ModelDemand, error) {
 	resp, err := c.call(ctx, addr, &peerpb.Request{Call: &peerpb.Request_Demand{Demand: &peerpb.Empty{}}})
 	if err != nil {
@@ -200,17 +211,17 @@
 	return demandFrom(resp.GetDemand()), nil
 }
 
-// Book returns the books of the node at addr.
-func (c *Client) Book(addr string) ledger.Book { return remoteBook{c: c, addr: addr} }
+// Book returns a ledger.Book that calls the node at addr.
+func (c *Client) Book(addr string) ledger.Book { return remoteLedger{c: c, addr: addr} }
 
-type remoteBook struct {
+type remoteLedger struct {
 	c    *Client
 	addr string
 }
 
-// Claim implements ledger.Book. A claim whose answer was lost is sent again:
-// the same attempt is granted again.
-func (b remoteBook) Claim(ctx context.Context, cl ledger.Claim) (ledger.Grant, error) {
+// Claim implements ledger.Book. A caller may send a claim again if its answer was
+// lost: the same attempt is granted again.
+func (b remoteLedger) Claim(ctx context.Context, cl ledger.Claim) (ledger.Grant, error) {
 	resp, err := b.c.call(ctx, b.addr, &peerpb.Request{Call: &peerpb.Request_Claim{Claim: claimTo(cl)}})
 	if err != nil {
 		return ledger.Grant{}, err
@@ -219,14 +230,14 @@
 }
 
 // Finish implements ledger.Book.
-func (b remoteBook) Finish(ctx context.Context, cl ledger.Claim, out *ledger.Outcome) error {
+func (b remoteLedger) Finish(ctx context.Context, cl ledger.Claim, out *ledger.Outcome) error {
 	msg := &peerpb.Finish{Claim: claimTo(cl), Outcome: outcomeTo(out)}
 	_, err := b.c.call(ctx, b.addr, &peerpb.Request{Call: &peerpb.Request_Finish{Finish: msg}})
 	return err
 }
 
 // Lookup implements ledger.Book.
-func (b remoteBook) Lookup(ctx context.Context, k ledger.Key) (ledger.Record, bool, error) {
+func (b remoteLedger) Lookup(ctx context.Context, k ledger.Key) (ledger.Record, bool, error) {
 	resp, err := b.c.call(ctx, b.addr, &peerpb.Request{Call: &peerpb.Request_Lookup{Lookup: keyTo(k)}})
 	if err != nil {
 		return ledger.Record{}, false, err
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -1,6 +1,6 @@
-// Package peer carries calls between the nodes: protobuf messages over yamux
-// streams, on connections whose both ends proved that they know the shared
-// key. Source: docs/design/007-peers.md.
+// Package peer implements calls between nodes: protobuf messages over yamux
+// streams. Both ends of a connection authenticate with a shared key. Source:
+// docs/design/007-peers.md.
 package peer
 
 import (
@@ -19,15 +19,17 @@
 )
 
 const (
-	// maxFrame bounds one message, in bytes.
+	// maxFrame is the maximum size of a message, in bytes.
 	maxFrame = 64 << 20
-	// maxHello bounds a handshake message, in bytes.
+	// maxHello is the maximum size of a handshake message, in bytes.
 	maxHello = 1 << 10
+	// nonceLen is the length of a handshake nonce, in bytes.
 	nonceLen = 32
-	// handshakeTimeout bounds the handshake.
+	// handshakeTimeout bounds the handshake; for a dialer, with the dialing.
 	handshakeTimeout = 3 * time.Second
 )
 
+// writeFrame writes a message with a four-byte big-endian length before it.
 func writeFrame(w io.Writer, m proto.Message) error {
 	frame, err := encodeFrame(m)
 	if err != nil {
@@ -37,6 +39,7 @@
 	return err
 }
 
+// encodeFrame returns a message as writeFrame writes it.
 func encodeFrame(m proto.Message) ([]byte, error) {
 	b, err := proto.Marshal(m)
 	if err != nil {
@@ -46,14 +49,15 @@
 	return append(frame, b...), nil
 }
 
+// readFrame reads a message that writeFrame wrote, of at most limit bytes.
 func readFrame(r io.Reader, m proto.Message, limit uint32) error {
-	var head [4]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var header [4]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return err
 	}
-	n := binary.BigEndian.Uint32(head[:])
+	n := binary.BigEndian.Uint32(header[:])
 	if n > limit {
-		return eris.Errorf("message of %d bytes is over %d", n, limit)
+		return eris.Errorf("message of %d bytes exceeds limit of %d", n, limit)
 	}
 	b := make([]byte, n)
 	if _, err := io.ReadFull(r, b); err != nil {
@@ -62,13 +66,16 @@
 	return eris.Wrap(proto.Unmarshal(b, m), "decode message")
 }
 
-// Roles keep a proof from being reflected to its sender.
+// The roles are part of the proofs, so that a proof reflected to its sender does
+// not authenticate.
 const (
 	dialerRole   = "dialer"
 	accepterRole = "accepter"
 )
 
-func prove(key []byte, role string, dialer, accepter *peerpb.Hello) []byte {
+// computeProof returns the HMAC by which one end proves that it knows the key. It
+// covers the role of that end and the names and nonces of both.
+func computeProof(key []byte, role string, dialer, accepter *peerpb.Hello) []byte {
 	m := hmac.New(sha256.New, key)
 	for _, part := range []string{role, dialer.Node, string(dialer.Nonce), accepter.Node, string(accepter.Nonce)} {
 		_ = binary.Write(m, binary.BigEndian, uint32(len(part)))
@@ -77,32 +84,32 @@
 	return m.Sum(nil)
 }
 
-// handshake authenticates both ends and returns the name of the other one.
+// handshake authenticates both ends and returns the node name of the other end.
 func handshake(c net.Conn, key []byte, node string, dialing bool) (string, error) {
 	if err := c.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return "", eris.Wrap(err, "set deadline")
 	}
-	mine := &peerpb.Hello{Node: node, Nonce: make([]byte, nonceLen)}
+	local := &peerpb.Hello{Node: node, Nonce: make([]byte, nonceLen)}
 	// crypto/rand.Read never fails.
-	_, _ = rand.Read(mine.Nonce)
-	theirs := &peerpb.Hello{}
-	if err := exchange(c, mine, theirs, dialing); err != nil {
+	_, _ = rand.Read(local.Nonce)
+	remote := &peerpb.Hello{}
+	if err := exchange(c, local, remote, dialing); err != nil {
 		return "", err
 	}
-	dialer, accepter := mine, theirs
-	myRole, theirRole := dialerRole, accepterRole
+	dialer, accepter := local, remote
+	localRole, remoteRole := dialerRole, accepterRole
 	if !dialing {
-		dialer, accepter = theirs, mine
-		myRole, theirRole = accepterRole, dialerRole
+		dialer, accepter = remote, local
+		localRole, remoteRole = accepterRole, dialerRole
 	}
 	proof := &peerpb.Proof{}
-	if err := exchange(c, &peerpb.Proof{Mac: prove(key, myRole, dialer, accepter)}, proof, dialing); err != nil {
+	if err := exchange(c, &peerpb.Proof{Mac: computeProof(key, localRole, dialer, accepter)}, proof, dialing); err != nil {
 		return "", err
 	}
-	if !hmac.Equal(proof.Mac, prove(key, theirRole, dialer, accepter)) {
-		return "", eris.New("the other end does not know the key: compare peers.key_file of both nodes")
+	if !hmac.Equal(proof.Mac, computeProof(key, remoteRole, dialer, accepter)) {
+		return "", eris.New("peer authentication failed: key differs, compare peers.key_file of both nodes")
 	}
-	return theirs.Node, eris.Wrap(c.SetDeadline(time.Time{}), "clear deadline")
+	return remote.Node, eris.Wrap(c.SetDeadline(time.Time{}), "clear deadline")
 }
 
 // exchange sends one message and receives one; the dialer sends first.
--- a/internal/peer/ends.go
+++ b/internal/peer/ends.go
@@ -7,13 +7,14 @@
 	"topazmoor/internal/poison"
 )
 
-// Ends takes in ends of targets under requests that another node could not write to the
-// store; *poison.Guard in production.
+// Ends receives records of target processes that ended while they ran a request, from nodes
+// that could not write them to the store. *poison.Guard implements it in production.
 type Ends interface {
 	Hear(ends []poison.End)
 }
 
-// TellEnds tells another node of ends of targets under requests.
+// TellEnds sends records of target processes that ended while they ran a request to the node
+// at addr.
 func (c *Client) TellEnds(ctx context.Context, addr string, ends []poison.End) error {
 	msg := &peerpb.Ends{}
 	for _, e := range ends {
@@ -23,7 +24,7 @@
 	return err
 }
 
-// ends takes in what another node tells.
+// ends handles an Ends message from another node.
 func (s *Server) ends(msg *peerpb.Ends) *peerpb.Response {
 	var ends []poison.End
 	for _, e := range msg.GetEnd() {
@@ -35,7 +36,7 @@
 	return &peerpb.Response{Result: &peerpb.Response_Done{Done: &peerpb.Empty{}}}
 }
 
-// digestFrom reads a digest; the zero one where there is none.
+// digestFrom decodes a digest; an empty b gives the zero digest.
 func digestFrom(b []byte) poison.Digest {
 	var d poison.Digest
 	copy(d[:], b)
--- a/internal/peer/follow.go
+++ b/internal/peer/follow.go
@@ -18,35 +18,37 @@
 	"topazmoor/internal/watch"
 )
 
-// Teller answers the nodes that follow this one; see relay.Teller.
+// Teller sends updates of store tables to the nodes that follow this node; see relay.Teller.
 type Teller interface {
 	Follow(ctx context.Context, have []relay.Have, send func(relay.Told) error) error
 }
 
 const (
-	// tellTimeout bounds the sending of one message to a node that follows: one that takes
-	// nothing more has left it after relay's silence anyhow.
-	tellTimeout = 3 * time.Second
-	// maxUnpacked bounds a whole table, in bytes: 10,000 rows of 1 KB.
-	maxUnpacked = 16 << 20
+	// followSendTimeout bounds the sending of one message to a follower. A follower that receives no
+	// message for relay's silence timeout has stopped following by then.
+	followSendTimeout = 3 * time.Second
+	// maxTableBytes bounds the decompressed size of a whole table, in bytes. It is enough for
+	// 10,000 rows of 1 KB.
+	maxTableBytes = 16 << 20
 )
 
-// Follow implements relay.Remote.
-func (c *Client) Follow(ctx context.Context, addr string, have []relay.Have, told func(relay.Told) error) error {
+// Follow implements relay.Remote. It calls receive for each message until an error.
+func (c *Client) Follow(ctx context.Context, addr string, have []relay.Have, receive func(relay.Told) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ask := &peerpb.Follow{}
+	request := &peerpb.Follow{}
 	tables := make([]string, len(have))
 	for i, h := range have {
 		tables[i] = h.Table
-		ask.Have = append(ask.Have, &peerpb.Follow_Have{Table: h.Table, Era: h.Version.Era, Version: h.Version.Number})
+		request.Have = append(request.Have, &peerpb.Follow_Have{Table: h.Table, Era: h.Version.Era, Version: h.Version.Number})
 	}
-	x, err := c.ask(ctx, addr, &peerpb.Request{Call: &peerpb.Request_Follow{Follow: ask}})
+	x, err := c.request(ctx, addr, &peerpb.Request{Call: &peerpb.Request_Follow{Follow: request}})
 	if err != nil {
 		return err
 	}
 	defer func() {
-		// The node is left as it says nothing, or as this host stood still.
+		// The caller cancels the call if the node sends nothing in time, or after this host was
+		// paused. The connection may be broken.
 		if ctx.Err() != nil {
 			x.retire()
 		}
@@ -56,17 +58,17 @@
 		if err != nil {
 			return err
 		}
-		msg, err := toldFrom(resp.GetTold(), tables)
+		msg, err := statusFrom(resp.GetTold(), tables)
 		if err != nil {
 			return err
 		}
-		if err := told(msg); err != nil {
+		if err := receive(msg); err != nil {
 			return err
 		}
 	}
 }
 
-// follow answers a node that follows this one, until it leaves.
+// follow sends updates to a follower until it closes its stream.
 func (s *Server) follow(ctx context.Context, st *stream, m *peerpb.Follow) error {
 	if s.h.Teller == nil {
 		return verdict.New(verdict.NotRun, verdict.Internal, "this node tells nothing of the store")
@@ -74,47 +76,48 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	st.SetReadDeadline(time.Time{})
-	go cancelWhenLeft(st, cancel)
+	go cancelOnClose(st, cancel)
 	var have []relay.Have
 	for _, h := range m.Have {
 		have = append(have, relay.Have{Table: h.Table, Version: store.Version{Era: h.Era, Number: h.Version}})
 	}
 	return s.h.Teller.Follow(ctx, have, func(t relay.Told) error {
-		msg, err := s.packer.toldTo(t)
+		msg, err := s.packer.statusTo(t)
 		if err != nil {
 			return err
 		}
-		st.SetWriteDeadline(time.Now().Add(tellTimeout))
+		st.SetWriteDeadline(time.Now().Add(followSendTimeout))
 		return writeFrame(st, &peerpb.Response{Result: &peerpb.Response_Told{Told: msg}})
 	})
 }
 
-// cancelWhenLeft cancels when the peer closes its stream, on which it sends nothing more.
-func cancelWhenLeft(st *stream, cancel func()) {
+// cancelOnClose calls cancel once the peer closes its stream. The peer sends nothing more on
+// the stream, so a read returns only then.
+func cancelOnClose(st *stream, cancel func()) {
 	var b [1]byte
 	_, _ = st.Read(b[:])
 	cancel()
 }
 
-// packer compresses whole tables, each version of a table once for all nodes that ask for
-// it: 3,000 entries of 0.3 KB are 1 MB, and 50 nodes of a data centre ask at the same time.
+// packer compresses whole tables. It compresses each version of a table once for all followers:
+// 3,000 entries of 0.3 KB are 1 MB, and 50 nodes of a data centre request them at the same time.
 type packer struct {
-	mu   sync.Mutex
-	news [packedTables]*watch.News
-	data [packedTables][]byte
-	next int
+	mu      sync.Mutex
+	updates [packedTables]*watch.News
+	data    [packedTables][]byte
+	next    int
 }
 
-// packedTables is how many packed tables are kept.
+// packedTables is the number of compressed tables that are cached.
 const packedTables = 3
 
-func (p *packer) toldTo(t relay.Told) (*peerpb.Told, error) {
+func (p *packer) statusTo(t relay.Told) (*peerpb.Told, error) {
 	out := &peerpb.Told{Away: t.Away, AgeMs: t.Age.Milliseconds()}
 	for _, table := range t.Tables {
 		m := &peerpb.TableTold{Era: table.Position.Version.Era, Version: table.Position.Version.Number, Sum: table.Position.Sum}
 		if table.News != nil {
 			var err error
-			if m.News, err = p.newsTo(table.News); err != nil {
+			if m.News, err = p.tableUpdateTo(table.News); err != nil {
 				return nil, err
 			}
 		}
@@ -123,7 +126,7 @@
 	return out, nil
 }
 
-func (p *packer) newsTo(n *watch.News) (*peerpb.News, error) {
+func (p *packer) tableUpdateTo(n *watch.News) (*peerpb.News, error) {
 	out := &peerpb.News{Since: n.Since.Number, Era: n.Version.Era, Version: n.Version.Number, Whole: n.Whole, Deleted: n.Deleted}
 	if !n.Whole {
 		out.Row = rowsTo(n.Rows)
@@ -142,11 +145,11 @@
 	return out
 }
 
-// pack compresses the rows of a whole table.
+// pack returns the compressed rows of a whole table, from the cache if they are in it.
 func (p *packer) pack(n *watch.News) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for i, known := range p.news {
+	for i, known := range p.updates {
 		if known == n {
 			return p.data[i], nil
 		}
@@ -160,38 +163,38 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "pack table")
 	}
-	// A buffer takes everything.
+	// Writes to a bytes.Buffer return no error.
 	_, _ = w.Write(raw)
 	_ = w.Close()
-	p.news[p.next], p.data[p.next] = n, b.Bytes()
+	p.updates[p.next], p.data[p.next] = n, b.Bytes()
 	p.next = (p.next + 1) % packedTables
 	return b.Bytes(), nil
 }
 
-// toldFrom decodes a message about these tables.
-func toldFrom(m *peerpb.Told, tables []string) (relay.Told, error) {
+// statusFrom decodes a message about tables, which are in the order of the request.
+func statusFrom(m *peerpb.Told, tables []string) (relay.Told, error) {
 	if m == nil || len(m.Table) != len(tables) {
-		return relay.Told{}, eris.New("the peer's message lacks tables")
+		return relay.Told{}, eris.New("message from peer has the wrong number of tables")
 	}
 	out := relay.Told{Away: m.Away, Age: time.Duration(m.AgeMs) * time.Millisecond}
 	for i, table := range m.Table {
-		told := relay.TableTold{Position: watch.Position{Version: store.Version{Era: table.Era, Number: table.Version}, Sum: table.Sum}}
+		status := relay.TableTold{Position: watch.Position{Version: store.Version{Era: table.Era, Number: table.Version}, Sum: table.Sum}}
 		if table.News != nil {
-			news, err := newsFrom(table.News, tables[i])
+			update, err := tableUpdateFrom(table.News, tables[i])
 			if err != nil {
 				return relay.Told{}, err
 			}
-			told.News = news
+			status.News = update
 		}
-		out.Tables = append(out.Tables, told)
+		out.Tables = append(out.Tables, status)
 	}
 	return out, nil
 }
 
-func newsFrom(m *peerpb.News, table string) (*watch.News, error) {
+func tableUpdateFrom(m *peerpb.News, table string) (*watch.News, error) {
 	rows := m.Row
 	if m.Whole {
-		raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(m.Packed)), maxUnpacked))
+		raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(m.Packed)), maxTableBytes))
 		if err != nil {
 			return nil, eris.Wrap(err, "unpack table")
 		}
--- a/internal/peer/frames.go
+++ b/internal/peer/frames.go
@@ -7,7 +7,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// The header of a yamux frame: version, type, flags, stream and length. Only data frames have a body.
+// Layout of the header of a yamux frame: version, type, flags, stream and length. Offsets and
+// length are in bytes. Only data frames have a body.
 const (
 	headerLen    = 12
 	typeOffset   = 1
@@ -16,23 +17,24 @@
 )
 
 const (
-	// readBuffer is the least space for one read, in bytes.
-	readBuffer = 4 << 10
-	// mostKept bounds the memory that an idle connection keeps for frames, in bytes.
-	mostKept = 16 << 10
+	// minReadSpace is the minimum free space for one read, in bytes.
+	minReadSpace = 4 << 10
+	// maxIdleBuffer is the largest buffer that a connection keeps while no frame is in it, in bytes.
+	maxIdleBuffer = 16 << 10
 )
 
-var errFrameTooLong = eris.New("frame of the peer is longer than its stream's window")
+var errFrameTooLong = eris.New("frame from peer exceeds the stream window")
 
-// frameConn is the connection below a session. Reads return bytes of whole frames only: a session
-// locks a stream once it has the header of a frame and waits for the body under that lock, where no
-// deadline of the stream is seen. The body of a peer that was cut off or stands still may never
-// come.
+// frameConn is the connection below a yamux session. Its reads return bytes of complete frames
+// only. A session that has read the header of a frame locks the stream and reads the body under that
+// lock, where the deadlines of the stream have no effect. The body may never arrive if the peer is
+// disconnected or paused.
 type frameConn struct {
 	net.Conn
-	// longest bounds the body of a frame, in bytes.
-	longest uint32
-	// received holds what was read and not returned yet; whole is how much of it are whole frames.
+	// maxBody is the maximum length of the body of a frame, in bytes.
+	maxBody uint32
+	// received holds the bytes that were read from Conn and not returned yet. The first whole bytes
+	// of it belong to complete frames.
 	received []byte
 	whole    int
 }
@@ -50,23 +52,24 @@
 	return n, nil
 }
 
-// receive waits for more bytes of the frame that is not whole yet.
+// receive reads more bytes from Conn and counts the frames that they complete.
 func (c *frameConn) receive() error {
-	c.makeRoom()
+	c.reserve()
 	n, err := c.Conn.Read(c.received[len(c.received):cap(c.received)])
 	c.received = c.received[:len(c.received)+n]
 	if n == 0 && err != nil {
 		return err
 	}
-	return c.measure()
+	return c.countWhole()
 }
 
-// makeRoom makes place for the rest of the frame.
-func (c *frameConn) makeRoom() {
-	if len(c.received) == 0 && cap(c.received) > mostKept {
+// reserve ensures free space in received for the rest of the incomplete frame, and at least
+// minReadSpace bytes.
+func (c *frameConn) reserve() {
+	if len(c.received) == 0 && cap(c.received) > maxIdleBuffer {
 		c.received = nil
 	}
-	need := readBuffer
+	need := minReadSpace
 	if rest, ok := c.next(); ok {
 		need = max(need, rest-len(c.received))
 	}
@@ -76,14 +79,14 @@
 	c.received = append(make([]byte, 0, len(c.received)+need), c.received...)
 }
 
-// measure counts the whole frames.
-func (c *frameConn) measure() error {
+// countWhole extends whole over all complete frames in received.
+func (c *frameConn) countWhole() error {
 	for {
 		n, ok := c.next()
 		if !ok {
 			return nil
 		}
-		if n > headerLen+int(c.longest) {
+		if n > headerLen+int(c.maxBody) {
 			return errFrameTooLong
 		}
 		if len(c.received) < c.whole+n {
@@ -93,7 +96,8 @@
 	}
 }
 
-// next returns the length of the frame after the whole ones; not ok where its header has not come.
+// next returns the length of the frame after the first whole bytes, with its header. ok is false
+// if the header is incomplete.
 func (c *frameConn) next() (length int, ok bool) {
 	header := c.received[c.whole:]
 	if len(header) < headerLen {
--- a/internal/peer/frames_test.go
+++ b/internal/peer/frames_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// frameOf returns a frame of yamux as it is on the wire.
+// frameOf returns an encoded yamux frame.
 func frameOf(kind byte, stream, length uint32, body []byte) []byte {
 	b := make([]byte, headerLen, headerLen+len(body))
 	b[typeOffset] = kind
@@ -22,14 +22,15 @@
 	return append(b, body...)
 }
 
-// halfFrame is what a peer sent that was stopped in the midst of a frame for the first stream.
-func halfFrame() (sent, rest []byte) {
+// partialFrame returns a data frame of the first stream in two parts, split within the body: the part
+// that a paused peer has sent, and the rest.
+func partialFrame() (sent, rest []byte) {
 	whole := frameOf(typeData, 1, 100, make([]byte, 100))
 	return whole[:headerLen+10], whole[headerLen+10:]
 }
 
-// TestDeadlineHoldsInTheMidstOfAFrame guards against reads that wait for the rest of a frame,
-// whatever their deadline.
+// TestDeadlineHoldsInTheMidstOfAFrame guards against reads that wait for the rest of an incomplete
+// frame beyond their deadline.
 func TestDeadlineHoldsInTheMidstOfAFrame(t *testing.T) {
 	c := quicktest.New(t)
 	here, there := net.Pipe()
@@ -39,17 +40,17 @@
 	go func() { _, _ = io.Copy(io.Discard, there) }()
 	st, err := m.OpenStream()
 	c.Assert(err, quicktest.IsNil)
-	sent, rest := halfFrame()
-	// In two parts: once the second is taken, the session has seen the header.
+	sent, rest := partialFrame()
+	// Two writes: once the second one returns, the session's connection has read the header.
 	for _, part := range [][]byte{sent[:headerLen], sent[headerLen:]} {
 		_, err = there.Write(part)
 		c.Assert(err, quicktest.IsNil)
 	}
-	st.SetDeadline(expired)
+	st.SetDeadline(pastDeadline)
 	_, err = st.Read(make([]byte, 1))
 	c.Assert(err, quicktest.Equals, yamux.ErrTimeout)
 
-	// The connection goes on once the rest comes.
+	// The connection works again once the rest of the frame arrives.
 	st.SetDeadline(time.Time{})
 	_, err = there.Write(rest)
 	c.Assert(err, quicktest.IsNil)
@@ -58,8 +59,8 @@
 	c.Assert(err, quicktest.IsNil)
 }
 
-// TestWholeFramesArePassedOnUnchanged compares what a session reads with what came, however the
-// connection splits it.
+// TestWholeFramesArePassedOnUnchanged checks that reads return the bytes of all complete frames
+// unchanged, however the connection splits them.
 func TestWholeFramesArePassedOnUnchanged(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var sent []byte
@@ -76,7 +77,7 @@
 			sent = append(sent, frameOf(kind, 1, length, body)...)
 		}
 		whole := len(sent)
-		half, _ := halfFrame()
+		half, _ := partialFrame()
 		sent = append(sent, half[:rapid.IntRange(0, len(half)).Draw(rt, "half")]...)
 		here, there := net.Pipe()
 		go func() {
@@ -88,7 +89,7 @@
 			_ = there.Close()
 		}()
 		want := append([]byte(nil), sent[:whole]...)
-		got, err := io.ReadAll(iotest.OneByteReader(&frameConn{Conn: here, longest: 100_000}))
+		got, err := io.ReadAll(iotest.OneByteReader(&frameConn{Conn: here, maxBody: 100_000}))
 		if err != nil {
 			rt.Fatal(err)
 		}
@@ -98,11 +99,12 @@
 	})
 }
 
-// TestFrameOverTheWindowEndsTheSession guards the memory that a peer can make a node hold.
+// TestFrameOverTheWindowEndsTheSession guards against a peer that makes a node allocate memory for
+// frames longer than the stream window.
 func TestFrameOverTheWindowEndsTheSession(t *testing.T) {
 	c := quicktest.New(t)
 	here, there := net.Pipe()
 	go func() { _, _ = there.Write(frameOf(typeData, 1, 1<<31, nil)) }()
-	_, err := (&frameConn{Conn: here, longest: 1 << 18}).Read(make([]byte, 1))
+	_, err := (&frameConn{Conn: here, maxBody: 1 << 18}).Read(make([]byte, 1))
 	c.Assert(err, quicktest.Equals, errFrameTooLong)
 }
--- a/internal/peer/mux.go
+++ b/internal/peer/mux.go
@@ -10,19 +10,19 @@
 	"github.com/rotisserie/eris"
 )
 
-// muxConn carries streams over one connection, as yamux.Session does, but ends its streams
-// before it closes the connection.
+// muxConn multiplexes streams over one connection, as yamux.Session does, but expires the deadlines
+// of its streams before it closes the connection.
 //
-// A yamux session marks its streams closed only once its connection is closed, which waits for
-// the loop that reads from it. A read or write of a stream that is blocked meanwhile does not
-// return and does not wait: it goes round a select that is always ready, and can keep the
-// processor from the very loop that the close waits for.
+// A yamux session marks its streams closed only after it has closed its connection and the loop
+// that reads from the connection has ended. Until then a blocked read or write of a stream spins on
+// a select that is always ready, and can starve that loop of CPU time.
 type muxConn struct {
 	session *yamux.Session
 
 	mu      sync.Mutex
 	streams map[*stream]struct{}
-	ended   bool
+	// ended is set once end was called.
+	ended bool
 }
 
 // stream is one stream of a muxConn.
@@ -31,19 +31,19 @@
 	conn *muxConn
 }
 
-// endingConn is the connection below a session, whose Close ends the streams first.
-type endingConn struct {
+// notifyCloseConn is the connection below a session. Its Close calls end first.
+type notifyCloseConn struct {
 	net.Conn
 	end func()
 }
 
-// Close implements net.Conn. The session calls it in each way in which it ends.
-func (c endingConn) Close() error {
+// Close implements net.Conn. The session calls it whenever it ends, for any reason.
+func (c notifyCloseConn) Close() error {
 	c.end()
 	return c.Conn.Close()
 }
 
-// newMux returns the streams over a connection, at the end that dialed it or at the other.
+// newMux starts a session on a connection; dialed is true at the end that dialed it.
 func newMux(c net.Conn, dialed bool) (*muxConn, error) {
 	m := &muxConn{streams: make(map[*stream]struct{})}
 	open := yamux.Server
@@ -52,10 +52,10 @@
 	}
 	var err error
 	config := muxConfig()
-	frames := &frameConn{Conn: c, longest: config.MaxStreamWindowSize}
-	m.session, err = open(endingConn{Conn: frames, end: m.end}, config)
+	frames := &frameConn{Conn: c, maxBody: config.MaxStreamWindowSize}
+	m.session, err = open(notifyCloseConn{Conn: frames, end: m.end}, config)
 	if err != nil {
-		return nil, eris.Wrap(err, "begin session")
+		return nil, eris.Wrap(err, "start session")
 	}
 	return m, nil
 }
@@ -99,7 +99,7 @@
 	return s
 }
 
-// end makes all reads and writes of streams return, now and from now on.
+// end expires the deadlines of all streams, so that current and later reads and writes return.
 func (m *muxConn) end() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -109,7 +109,7 @@
 	}
 }
 
-// Close ends the streams and closes the connection.
+// Close expires the deadlines of the streams and closes the connection.
 func (m *muxConn) Close() error { return m.session.Close() }
 
 // IsClosed reports whether the session has ended.
@@ -118,31 +118,32 @@
 // NumStreams returns the number of open streams.
 func (m *muxConn) NumStreams() int { return m.session.NumStreams() }
 
-// expired is a deadline that is over.
-var expired = time.Unix(1, 0)
+// pastDeadline is a deadline in the past.
+var pastDeadline = time.Unix(1, 0)
 
 func (s *stream) expire() {
-	// Deadlines of an open stream cannot fail.
-	_ = s.Stream.SetDeadline(expired)
+	// SetDeadline of a yamux stream always returns nil.
+	_ = s.Stream.SetDeadline(pastDeadline)
 }
 
-// SetDeadline sets the time at which reads and writes give up.
+// SetDeadline sets the time at which reads and writes time out; the zero time is for never.
 func (s *stream) SetDeadline(t time.Time) {
-	s.unlessEnded(func() { _ = s.Stream.SetDeadline(t) })
+	s.setUnlessEnded(func() { _ = s.Stream.SetDeadline(t) })
 }
 
-// SetReadDeadline sets the time at which reads give up; the zero time is for never.
+// SetReadDeadline sets the time at which reads time out; the zero time is for never.
 func (s *stream) SetReadDeadline(t time.Time) {
-	s.unlessEnded(func() { _ = s.Stream.SetReadDeadline(t) })
+	s.setUnlessEnded(func() { _ = s.Stream.SetReadDeadline(t) })
 }
 
-// SetWriteDeadline sets the time at which writes give up; the zero time is for never.
+// SetWriteDeadline sets the time at which writes time out; the zero time is for never.
 func (s *stream) SetWriteDeadline(t time.Time) {
-	s.unlessEnded(func() { _ = s.Stream.SetWriteDeadline(t) })
+	s.setUnlessEnded(func() { _ = s.Stream.SetWriteDeadline(t) })
 }
 
-// unlessEnded sets a deadline. The deadline of a stream whose session has ended stays over.
-func (s *stream) unlessEnded(set func()) {
+// setUnlessEnded calls set unless end was called: the deadlines that end has
+// set stay in the past.
+func (s *stream) setUnlessEnded(set func()) {
 	s.conn.mu.Lock()
 	defer s.conn.mu.Unlock()
 	if !s.conn.ended {
--- a/internal/peer/mux_test.go
+++ b/internal/peer/mux_test.go
@@ -10,27 +10,28 @@
 	"github.com/frankban/quicktest"
 )
 
-// closePatience is for how long a closing connection lets others run, on a busy machine.
-const closePatience = 10 * time.Second
+// closeTimeout is the maximum time for which Close of a heldConn waits for blocked calls. It is
+// long enough for a busy machine.
+const closeTimeout = 10 * time.Second
 
-// heldConn is a connection whose Close lets others run until all blocked calls on its streams
-// have returned, as that of a connection whose reading loop is queued behind them does.
+// heldConn is a connection whose Close waits until all blocked calls on its streams have returned,
+// as the close of a session does whose reading loop gets no CPU time before them.
 type heldConn struct {
 	net.Conn
 	blocked *atomic.Int64
-	// left is how many calls were still blocked when the connection was closed.
+	// left is the number of calls that were still blocked when the connection was closed.
 	left atomic.Int64
 }
 
 func (c *heldConn) Close() error {
-	for end := time.Now().Add(closePatience); c.blocked.Load() > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(closeTimeout); c.blocked.Load() > 0 && time.Now().Before(end); {
 		runtime.Gosched()
 	}
 	c.left.Store(c.blocked.Load())
 	return c.Conn.Close()
 }
 
-// muxPair returns a muxConn on a connection that is held when it closes, and the other end.
+// muxPair returns a muxConn on a heldConn, the muxConn of the other end, and the heldConn.
 func muxPair(c *quicktest.C, blocked *atomic.Int64) (*muxConn, *muxConn, *heldConn) {
 	here, there := net.Pipe()
 	held := &heldConn{Conn: here, blocked: blocked}
@@ -44,8 +45,8 @@
 
 const blockedCalls = 20
 
-// TestReadsEndBeforeTheConnectionCloses guards against reads that go round a select that is
-// always ready while the connection closes.
+// TestReadsEndBeforeTheConnectionCloses guards against reads that spin on a select that is always
+// ready while the connection closes.
 func TestReadsEndBeforeTheConnectionCloses(t *testing.T) {
 	c := quicktest.New(t)
 	var blocked atomic.Int64
@@ -85,8 +86,8 @@
 	c.Assert(held.left.Load(), quicktest.Equals, int64(0))
 }
 
-// TestDeadlinesStayOverOnceTheSessionEnded guards calls that begin, or set a later deadline,
-// while the connection closes.
+// TestDeadlinesStayOverOnceTheSessionEnded guards against calls that block because they begin, or
+// set a later deadline, while the connection closes.
 func TestDeadlinesStayOverOnceTheSessionEnded(t *testing.T) {
 	c := quicktest.New(t)
 	var blocked atomic.Int64
@@ -100,7 +101,9 @@
 	c.Assert(err, quicktest.ErrorMatches, ".*deadline.*|.*timeout.*")
 }
 
-// All nodes of a fleet may call one of them: it forms their batches, or is followed.
+// TestConnectionsOfAllNodesOfAFleetAreTaken checks that a server accepts a connection of each known
+// node, as all nodes may call one that forms their batches or that they follow, and that it refuses
+// connections above its limit.
 func TestConnectionsOfAllNodesOfAFleetAreTaken(t *testing.T) {
 	c := quicktest.New(t)
 	for _, nodes := range []int{0, 985, 2000, 4000} {
@@ -115,6 +118,6 @@
 		for s.add(&muxConn{}) {
 			taken++
 		}
-		c.Check(taken <= max(leastSessions, sessionsPerNode*nodes), quicktest.IsTrue)
+		c.Check(taken <= max(minSessionLimit, sessionsPerNode*nodes), quicktest.IsTrue)
 	}
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -16,7 +16,7 @@
 	"topazmoor/internal/verdict"
 )
 
-// fakeBook refuses everything with a verdict.
+// fakeBook refuses claims, accepts finishes and finds a record for each key.
 type fakeBook struct{}
 
 func (fakeBook) Claim(context.Context, ledger.Claim) (ledger.Grant, error) {
--- a/internal/peer/pending.go
+++ b/internal/peer/pending.go
@@ -11,8 +11,9 @@
 
 // pendingCall is one request to a peer and its answers.
 //
-// A goroutine of its own writes and reads: a stream can hold it for seconds after its deadline,
-// while the peer takes nothing more of the connection. Who asked does not wait for that.
+// A separate goroutine writes the request and reads the answers. It can block on the stream for
+// seconds after the deadline if the peer no longer reads from the connection. The caller returns at
+// its deadline regardless.
 type pendingCall struct {
 	client  *Client
 	ctx     context.Context
@@ -22,15 +23,16 @@
 	conn atomic.Pointer[muxConn]
 }
 
-// answer is one answer of a peer, or why none comes any more.
+// answer is one answer of a peer, or the error that ended the call.
 type answer struct {
 	resp *peerpb.Response
 	err  error
 }
 
-// ask sends a request to the node at addr. The call ends with ctx, which must end.
-func (c *Client) ask(ctx context.Context, addr string, req *peerpb.Request) (*pendingCall, error) {
-	// What the caller gave is not read any more once it has its result.
+// request sends a request to the node at addr. The call lasts at most until ctx is done; a context
+// that is never done could leak its goroutine.
+func (c *Client) request(ctx context.Context, addr string, req *peerpb.Request) (*pendingCall, error) {
+	// The request is encoded here, as the caller may change its data once the call has returned.
 	frame, err := encodeFrame(req)
 	if err != nil {
 		return nil, err
@@ -38,25 +40,25 @@
 	x := &pendingCall{client: c, ctx: ctx, addr: addr, answers: make(chan answer)}
 	go func() {
 		if err := x.run(frame); err != nil {
-			x.hand(answer{err: err})
+			x.deliver(answer{err: err})
 		}
 	}()
 	return x, nil
 }
 
-// next waits for the next answer. The error is a *verdict.Error when the peer refused, another
-// error when no answer came.
+// next waits for the next answer. The error is a *verdict.Error if the peer refused the request, and
+// another error if no answer arrived.
 func (x *pendingCall) next() (*peerpb.Response, error) {
 	select {
 	case a := <-x.answers:
 		return a.resp, a.err
 	case <-x.ctx.Done():
-		return nil, eris.Wrap(x.ctx.Err(), "answer of peer")
+		return nil, eris.Wrap(x.ctx.Err(), "receive answer from peer")
 	}
 }
 
-// hand gives an answer to who asked, and reports whether that still waits.
-func (x *pendingCall) hand(a answer) bool {
+// deliver passes an answer to the caller of next. It returns false if ctx is done first.
+func (x *pendingCall) deliver(a answer) bool {
 	select {
 	case x.answers <- a:
 		return true
@@ -72,29 +74,29 @@
 	}
 }
 
-// run sends the request and hands out the answers, up to the last one.
+// run sends the request and delivers the answers, up to the last one.
 func (x *pendingCall) run(frame []byte) error {
 	st, err := x.open()
 	if err != nil {
 		return err
 	}
 	defer st.Close()
-	defer context.AfterFunc(x.ctx, func() { st.SetDeadline(expired) })()
+	defer context.AfterFunc(x.ctx, func() { st.SetDeadline(pastDeadline) })()
 	if err := x.ctx.Err(); err != nil {
 		return err
 	}
 	if _, err := st.Write(frame); err != nil {
-		return eris.Wrap(err, "send to peer")
+		return eris.Wrap(err, "send request to peer")
 	}
 	for {
 		resp := &peerpb.Response{}
 		if err := readFrame(st, resp, maxFrame); err != nil {
-			return eris.Wrap(err, "answer of peer")
+			return eris.Wrap(err, "receive answer from peer")
 		}
 		if resp.Refusal != nil {
 			return refusalFrom(resp.Refusal)
 		}
-		if !x.hand(answer{resp: resp}) || isLast(resp) {
+		if !x.deliver(answer{resp: resp}) || isLast(resp) {
 			return nil
 		}
 	}
@@ -110,7 +112,7 @@
 	if st, err := conn.OpenStream(); err == nil {
 		return st, nil
 	}
-	// Nobody is left to be told.
+	// The session has ended, so an error of Close is of no use.
 	_ = conn.Close()
 	conn, err = x.connection()
 	if err != nil {
@@ -119,6 +121,7 @@
 	return conn.OpenStream()
 }
 
+// connection returns the connection to the peer and records it for retire.
 func (x *pendingCall) connection() (*muxConn, error) {
 	conn, err := x.client.connection(x.ctx, x.addr)
 	if err == nil {
@@ -127,5 +130,5 @@
 	return conn, err
 }
 
-// isLast reports whether a peer's answer is its last one.
+// isLast reports whether an answer is the last one of its call.
 func isLast(resp *peerpb.Response) bool { return resp.GetAccepted() == nil && resp.GetTold() == nil }
--- a/internal/peer/pending_test.go
+++ b/internal/peer/pending_test.go
@@ -13,8 +13,8 @@
 	"topazmoor/internal/stagebatch"
 )
 
-// stuckPeer returns a Client whose peer takes its connection and then takes, or sends, nothing
-// more than it is told to.
+// stuckPeer returns a Client whose peer completes the handshake, calls then with the connection and
+// does nothing else with it.
 func stuckPeer(key []byte, then func(c net.Conn)) *Client {
 	dial := func(context.Context, string, string) (net.Conn, error) {
 		here, there := net.Pipe()
@@ -28,10 +28,10 @@
 	return NewClient(dial, key, "a", nil)
 }
 
-// TestCallsEndAtTheirDeadlineWhateverThePeerDoes guards against calls that wait for a connection
-// rather than for their deadline: a caller's request waits for them.
+// TestCallsEndAtTheirDeadlineWhateverThePeerDoes guards against calls that block on the connection
+// beyond their deadline and so delay the request of a caller.
 func TestCallsEndAtTheirDeadlineWhateverThePeerDoes(t *testing.T) {
-	const patience = 300 * time.Millisecond
+	const timeout = 300 * time.Millisecond
 	peers := map[string]func(net.Conn){
 		"takes nothing": func(net.Conn) {},
 		"stops taking in the midst of the call": func(c net.Conn) {
@@ -39,7 +39,7 @@
 		},
 		"stops in the midst of a frame": func(c net.Conn) {
 			go func() { _, _ = io.Copy(io.Discard, c) }()
-			sent, _ := halfFrame()
+			sent, _ := partialFrame()
 			_, _ = c.Write(sent)
 		},
 		"says nothing": func(c net.Conn) { _, _ = io.Copy(io.Discard, c) },
@@ -61,13 +61,13 @@
 				inBubble(t, func(t *testing.T) {
 					client := stuckPeer([]byte("key"), then)
 					began := time.Now()
-					ctx, cancel := context.WithTimeout(t.Context(), patience)
+					ctx, cancel := context.WithTimeout(t.Context(), timeout)
 					defer cancel()
 					err := call(ctx, client)
-					quicktest.Check(t, time.Since(began), quicktest.Equals, patience)
+					quicktest.Check(t, time.Since(began), quicktest.Equals, timeout)
 					quicktest.Check(t, err, quicktest.ErrorIs, context.DeadlineExceeded)
 					client.Close()
-					// What the call left behind ends too.
+					// The goroutines that the call started end too.
 					time.Sleep(time.Minute)
 				})
 			})
--- a/internal/peer/permits.go
+++ b/internal/peer/permits.go
@@ -9,12 +9,13 @@
 	"topazmoor/internal/verdict"
 )
 
-// Permits grants permits of rates that nodes share; *sharedrate.Limiter in production.
+// Permits grants permits of rate limits that nodes share. *sharedrate.Limiter implements it in
+// production.
 type Permits interface {
 	Grant(a sharedrate.Ask) sharedrate.Grant
 }
 
-// AskPermits asks the node at addr for permits of a rate.
+// AskPermits requests permits of a rate limit from the node at addr.
 func (c *Client) AskPermits(ctx context.Context, addr string, a sharedrate.Ask) (sharedrate.Grant, error) {
 	msg := &peerpb.PermitAsk{
 		Key: a.Key, Asker: a.Asker, PerSecond: a.PerSecond, HeardUs: a.Heard.Microseconds(), Ended: a.Ended,
@@ -31,7 +32,7 @@
 	}, nil
 }
 
-// permits answers a node that asks for permits.
+// permits handles a permit request from another node.
 func (s *Server) permits(m *peerpb.PermitAsk) (*peerpb.Response, error) {
 	if s.h.Permits == nil {
 		return nil, verdict.New(verdict.NotRun, verdict.Internal, "this node grants no permits")
@@ -46,4 +47,5 @@
 	}}}, nil
 }
 
+// micros returns a duration of n microseconds.
 func micros(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
--- a/internal/peer/rollout.go
+++ b/internal/peer/rollout.go
@@ -12,12 +12,13 @@
 	"topazmoor/internal/verdict"
 )
 
-// Rollouts decides on roll-outs of versions; *rollout.Owner in production.
+// Rollouts decides on roll-outs of versions. *rollout.Owner implements it in production.
 type Rollouts interface {
 	Report(ctx context.Context, r rollout.Report) (rollout.Answer, error)
 }
 
-// ReportRollout tells the node at addr, which decides on a roll-out, what this node saw of it.
+// ReportRollout sends this node's report on a roll-out to the node at addr, which decides on the
+// roll-out, and returns the answer of that node.
 func (c *Client) ReportRollout(ctx context.Context, addr string, r rollout.Report) (rollout.Answer, error) {
 	resp, err := c.call(ctx, addr, &peerpb.Request{Call: &peerpb.Request_Rollout{Rollout: reportTo(r)}})
 	if err != nil {
@@ -26,7 +27,7 @@
 	return answerFrom(resp.GetRollout()), nil
 }
 
-// rollout answers a node that tells of a roll-out.
+// rollout handles a report on a roll-out from another node.
 func (s *Server) rollout(ctx context.Context, m *peerpb.RolloutReport) (*peerpb.Response, error) {
 	if s.h.Rollouts == nil {
 		return nil, verdict.New(verdict.NotRun, verdict.Internal, "this node decides on no roll-outs")
@@ -38,7 +39,8 @@
 	return &peerpb.Response{Result: &peerpb.Response_Rollout{Rollout: answerTo(a)}}, nil
 }
 
-// ReportSize returns the size of a report on its way, in bytes.
+// ReportSize returns the size of the encoded request that carries a report, in bytes, without the
+// framing.
 func ReportSize(r rollout.Report) int {
 	return proto.Size(&peerpb.Request{Call: &peerpb.Request_Rollout{Rollout: reportTo(r)}})
 }
@@ -51,7 +53,7 @@
 	}
 	for source, t := range r.Evidence.Tallies {
 		m.Tally = append(m.Tally, &peerpb.RolloutTally{
-			Route: source.Route, New: source.New, Target: source.Target, Bad: t.Bad, Took: untilLast(t.Took[:]), Left: untilLast(t.Left[:]),
+			Route: source.Route, New: source.New, Target: source.Target, Bad: t.Bad, Took: trimTrailingZeros(t.Took[:]), Left: trimTrailingZeros(t.Left[:]),
 		})
 	}
 	return m
@@ -73,8 +75,8 @@
 	return r
 }
 
-// untilLast returns counts without the empty ones at the end.
-func untilLast(counts []uint32) []uint32 {
+// trimTrailingZeros returns counts without the zeros at the end.
+func trimTrailingZeros(counts []uint32) []uint32 {
 	n := len(counts)
 	for n > 0 && counts[n-1] == 0 {
 		n--
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -17,42 +17,46 @@
 	"topazmoor/internal/verdict"
 )
 
-// serveTimeout bounds the work for one call of a peer.
+// serveTimeout bounds the handling of one call from a peer, except Follow.
 const serveTimeout = 30 * time.Second
 
 const (
-	// leastSessions is the bound of the connections of a server that knows few nodes: at a start
-	// others come before it knows them.
-	leastSessions = 1024
-	// sessionsPerNode is the bound for each node that it knows: one connection in use and one
-	// that is replaced.
+	// minSessionLimit is the minimum of the connection limit. After its start a server receives
+	// connections from nodes that it does not know yet.
+	minSessionLimit = 1024
+	// sessionsPerNode is the number of connections in the limit for each known node: one in use
+	// and one that is being replaced.
 	sessionsPerNode = 2
 )
 
-// Handler answers the calls of other nodes.
+// Handler holds the functions and services that answer the calls of other nodes.
 type Handler struct {
-	// Nodes is how many nodes this one knows; nil for few.
+	// Nodes returns the number of known nodes. If it is nil, the connection limit is
+	// minSessionLimit.
 	Nodes func() int
-	// Books are this node's own books.
+	// Books is the ledger of this node. If it is nil, the server refuses the calls for
+	// claims, changes, snapshots and demand.
 	Books ledger.Book
-	// Changes returns the accepted changes after a revision that this node
-	// still remembers, or nil when it cannot.
+	// Changes returns the accepted changes after a revision, or nil if this node no
+	// longer has all of them.
 	Changes func(after int64) []catalog.Change
 	// Snapshot returns the configuration in force.
 	Snapshot func() (int64, []catalog.Item)
-	// Demand returns the demand by model at this node.
+	// Demand returns the demand at this node by model.
 	Demand func() []scheduler.ModelDemand
-	// Stages answers orders for stage results; nil at nodes without them.
+	// Stages handles orders for stage results. If it is nil, orders are refused.
 	Stages Stages
-	// Teller answers nodes that follow this one; nil at nodes without it.
+	// Teller sends updates to nodes that follow this one. If it is nil, Follow is refused.
 	Teller Teller
-	// Ends takes in ends of targets that other nodes could not write; nil for nobody.
+	// Ends receives ends of target processes that other nodes could not write to the store.
+	// If it is nil, they are dropped.
 	Ends Ends
-	// Permits grants permits of rates that nodes share; nil at nodes without them.
+	// Permits grants permits of rate limits that nodes share. If it is nil, requests for
+	// permits are refused.
 	Permits Permits
-	// Rollouts decides on roll-outs of versions; nil at nodes without them.
+	// Rollouts decides on roll-outs of versions. If it is nil, reports are refused.
 	Rollouts Rollouts
-	// Versions exchanges configuration versions with orders; nil for not.
+	// Versions exchanges configuration versions along with orders; nil disables that.
 	Versions Versions
 }
 
@@ -70,18 +74,18 @@
 	sessions map[*muxConn]bool
 }
 
-// NewServer returns a server on a listener.
+// NewServer returns a server that accepts connections from l and sends node as its name.
 func NewServer(l net.Listener, key []byte, node string, h Handler, log *slog.Logger) *Server {
 	if h.Versions == nil {
-		h.Versions = unversioned{}
+		h.Versions = noVersions{}
 	}
 	return &Server{listener: l, key: key, node: node, h: h, log: log, sessions: make(map[*muxConn]bool)}
 }
 
-// Addr returns the address that the server listens on.
+// Addr returns the address on which the server listens.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Close ends everything at once.
+// Close closes the listener and all connections.
 func (s *Server) Close() {
 	s.listener.Close()
 	s.mu.Lock()
@@ -107,11 +111,12 @@
 	}
 }
 
+// session authenticates a connection and handles the calls on it until it ends.
 func (s *Server) session(ctx context.Context, c net.Conn) {
 	defer c.Close()
 	peer, err := handshake(c, s.key, s.node, false)
 	if err != nil {
-		s.log.Warn("peer refused", "remote", c.RemoteAddr().String(), "err", err)
+		s.log.Warn("peer handshake failed", "remote", c.RemoteAddr().String(), "err", err)
 		return
 	}
 	sess, err := newMux(c, false)
@@ -120,7 +125,7 @@
 	}
 	defer sess.Close()
 	if !s.add(sess) {
-		s.log.Warn("peer refused: too many connections", "peer", peer)
+		s.log.Warn("peer connection refused: too many connections", "peer", peer)
 		return
 	}
 	defer s.remove(sess)
@@ -133,23 +138,24 @@
 	}
 }
 
+// add registers a connection. It returns false if that would exceed the limit.
 func (s *Server) add(sess *muxConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.sessions) >= s.mostSessions() {
+	if len(s.sessions) >= s.sessionLimit() {
 		return false
 	}
 	s.sessions[sess] = true
 	return true
 }
 
-// mostSessions bounds the connections, so that callers that do not close theirs cannot use up the
-// process. All nodes may call this one at the same time.
-func (s *Server) mostSessions() int {
+// sessionLimit returns the limit of connections. It keeps peers that do not close their connections
+// from exhausting this process, and lets all known nodes connect at the same time.
+func (s *Server) sessionLimit() int {
 	if s.h.Nodes == nil {
-		return leastSessions
+		return minSessionLimit
 	}
-	return max(leastSessions, sessionsPerNode*s.h.Nodes())
+	return max(minSessionLimit, sessionsPerNode*s.h.Nodes())
 }
 
 func (s *Server) remove(sess *muxConn) {
@@ -158,9 +164,10 @@
 	delete(s.sessions, sess)
 }
 
-func (s *Server) call(life context.Context, st *stream) {
+// call handles one call: it reads the request from the stream and writes the answers.
+func (s *Server) call(serverCtx context.Context, st *stream) {
 	defer st.Close()
-	ctx, cancel := context.WithTimeout(life, serveTimeout)
+	ctx, cancel := context.WithTimeout(serverCtx, serveTimeout)
 	defer cancel()
 	st.SetDeadline(time.Now().Add(serveTimeout))
 	req := &peerpb.Request{}
@@ -168,7 +175,7 @@
 		return
 	}
 	if f := req.GetFollow(); f != nil {
-		s.serveFollow(life, st, f)
+		s.serveFollow(serverCtx, st, f)
 		return
 	}
 	resp, err := s.answer(ctx, st, req)
@@ -176,21 +183,22 @@
 		resp = &peerpb.Response{Refusal: refusalOf(err)}
 	}
 	if err := writeFrame(st, resp); err != nil {
-		s.log.Debug("peer left before its answer", "err", err)
+		s.log.Debug("send answer to peer failed", "err", err)
 	}
 }
 
-// serveFollow answers a node that follows this one for as long as it wants.
+// serveFollow handles a Follow call, which lasts until the follower closes its stream.
 func (s *Server) serveFollow(ctx context.Context, st *stream, f *peerpb.Follow) {
 	err := s.follow(ctx, st, f)
 	if errors.Is(err, context.Canceled) {
 		return
 	}
 	if err := writeFrame(st, &peerpb.Response{Refusal: refusalOf(err)}); err != nil {
-		s.log.Debug("peer left before its answer", "err", err)
+		s.log.Debug("send answer to peer failed", "err", err)
 	}
 }
 
+// answer handles a request other than Follow and returns its final answer.
 func (s *Server) answer(ctx context.Context, st *stream, req *peerpb.Request) (*peerpb.Response, error) {
 	switch call := req.Call.(type) {
 	case *peerpb.Request_Ends:
--- a/internal/peer/stages.go
+++ b/internal/peer/stages.go
@@ -15,50 +15,54 @@
 	"topazmoor/internal/verdict"
 )
 
-// Stages answers orders of other nodes for stage results.
+// Stages handles the orders of other nodes for stage results.
 type Stages interface {
+	// Produce runs an order. It calls accepted when the order was accepted.
 	Produce(ctx context.Context, o stagebatch.Order, accepted func(stagebatch.Waits)) (stagebatch.Result, error)
 	// Waits returns the estimated waits of a service's pool.
 	Waits(service string) stagebatch.Waits
+	// Free releases results.
 	Free(service string, handles []string)
-	// FreeIfTight gives up results that were read, where room is short.
+	// FreeIfTight releases results that were read, where free memory is low.
 	FreeIfTight(service string, handles []string)
 }
 
-// Versions tells nodes of each other's configuration, with the orders that they send
-// and answer anyway.
+// Versions exchanges the configuration versions in force between nodes. They are sent
+// along with orders and their answers, so they need no messages of their own.
 type Versions interface {
 	// Mine returns the version in force at this node.
 	Mine() store.Version
-	// Heard takes in the version in force at another node.
+	// Heard receives the version in force at another node.
 	Heard(v store.Version)
 }
 
-// unversioned is for nodes that tell nothing of their configuration with orders.
-type unversioned struct{}
+// noVersions is the Versions of nodes that don't exchange configuration versions.
+type noVersions struct{}
 
-func (unversioned) Mine() store.Version { return store.Version{} }
-func (unversioned) Heard(store.Version) {}
+func (noVersions) Mine() store.Version { return store.Version{} }
+func (noVersions) Heard(store.Version) {}
 
-// failures are the errors of orders in the order of their numbers on the wire;
-// 0 is success.
-var failures = []error{nil, stagebatch.ErrLate, stagebatch.ErrInputGone, stagebatch.ErrFailed, stagebatch.ErrNoTarget, stagebatch.ErrCrashed}
+// orderErrors lists the errors of orders by their numbers on the wire; 0 is success.
+var orderErrors = []error{nil, stagebatch.ErrLate, stagebatch.ErrInputGone, stagebatch.ErrFailed, stagebatch.ErrNoTarget, stagebatch.ErrCrashed}
 
-// anyFailure is the number of an error without one of its own: that of ErrNoTarget.
-const anyFailure = 4
+// defaultFailure is the number sent for an error that orderErrors does not list: that of
+// ErrNoTarget.
+const defaultFailure = 4
 
+// failureNumber returns the number of an order's error on the wire.
 func failureNumber(err error) uint32 {
-	for i, e := range failures {
+	for i, e := range orderErrors {
 		if e == err {
 			return uint32(i)
 		}
 	}
-	return anyFailure
+	return defaultFailure
 }
 
+// failureOf returns the error for a number on the wire; ErrFailed if it is unknown.
 func failureOf(n uint32) error {
-	if int(n) < len(failures) {
-		return failures[n]
+	if int(n) < len(orderErrors) {
+		return orderErrors[n]
 	}
 	return stagebatch.ErrFailed
 }
@@ -89,7 +93,7 @@
 	}
 }
 
-// acceptedTo is the message that tells the waits of a pool.
+// acceptedTo encodes the estimated waits of a pool.
 func acceptedTo(w stagebatch.Waits) *peerpb.Accepted {
 	a := &peerpb.Accepted{LateBegunMs: w.LateBegun.Milliseconds(), LateNewMs: w.LateNew.Milliseconds()}
 	for _, d := range w.OnTime {
@@ -114,9 +118,9 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	msg := orderTo(o, time.Now())
-	mine := c.versions.Mine()
-	msg.ConfigEra, msg.ConfigVersion = mine.Era, mine.Number
-	x, err := c.ask(ctx, addr, &peerpb.Request{Call: &peerpb.Request_Produce{Produce: msg}})
+	current := c.versions.Mine()
+	msg.ConfigEra, msg.ConfigVersion = current.Era, current.Number
+	x, err := c.request(ctx, addr, &peerpb.Request{Call: &peerpb.Request_Produce{Produce: msg}})
 	if err != nil {
 		return stagebatch.Result{}, err
 	}
@@ -138,12 +142,13 @@
 		return stagebatch.Result{}, err
 	}
 	if len(p.GetHandle()) != o.Pieces {
-		return stagebatch.Result{}, eris.New("the peer's answer lacks results")
+		return stagebatch.Result{}, eris.New("answer from peer has the wrong number of results")
 	}
 	return stagebatch.Result{Handles: p.Handle}, nil
 }
 
-// awaitProduced reads the answers to an order until the last one.
+// awaitProduced receives the answers to an order and returns the last one. It
+// reports the others to accepted, c.versions and inputsRead.
 func (c *Client) awaitProduced(x *pendingCall, accepted func(stagebatch.Waits), inputsRead func()) (*peerpb.Response, error) {
 	for {
 		resp, err := x.next()
@@ -169,19 +174,20 @@
 	return err
 }
 
-// orderHeartbeat is how often a node that works on an order says so: a former
-// whose pool is slow must not be taken for a dead one. See
-// stagebatch.silenceTimeout.
+// orderHeartbeat is the interval at which a node sends progress messages for an
+// order, so that the asking node does not take a node with a slow pool for a dead
+// one. See stagebatch.silenceTimeout.
 const orderHeartbeat = 250 * time.Millisecond
 
-// produced is the end of an order.
+// produced is the result or the error of an order.
 type produced struct {
 	res stagebatch.Result
 	err error
 }
 
-// produce answers an order: that it was accepted, that it still is, then with
-// its results. The order ends when the peer closes its stream.
+// produce handles an order. It sends a message when the order is accepted, one
+// per orderHeartbeat, and then the results. The order is cancelled when the peer
+// closes its stream.
 func (s *Server) produce(ctx context.Context, st *stream, m *peerpb.Order) (*peerpb.Response, error) {
 	if s.h.Stages == nil {
 		return nil, verdict.New(verdict.NotRun, verdict.Internal, "this node forms no batches")
@@ -189,7 +195,8 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
-		// The peer sends nothing more: a read ends when it closes the stream.
+		// The peer sends nothing more, so the read returns when it closes the
+		// stream.
 		var b [1]byte
 		_, _ = st.Read(b[:])
 		cancel()
@@ -206,8 +213,8 @@
 	s.h.Versions.Heard(store.Version{Era: m.ConfigEra, Number: m.ConfigVersion})
 	state := func() *peerpb.Accepted {
 		a := acceptedTo(s.h.Stages.Waits(m.Service))
-		mine := s.h.Versions.Mine()
-		a.ConfigEra, a.ConfigVersion = mine.Era, mine.Number
+		current := s.h.Versions.Mine()
+		a.ConfigEra, a.ConfigVersion = current.Era, current.Number
 		return a
 	}
 	p := awaitOrder(ctx, st, state, accepted, read, done)
@@ -218,8 +225,8 @@
 	return &peerpb.Response{Result: &peerpb.Response_Produced{Produced: out}}, nil
 }
 
-// awaitOrder tells the peer of an order's progress until its end. A peer that
-// cannot be told has left; the reader of its stream withdraws the order.
+// awaitOrder sends progress messages to the peer until the order ends. If a write
+// fails, the peer is gone, and the reader of its stream cancels the order.
 func awaitOrder(ctx context.Context, st *stream, state func() *peerpb.Accepted, accepted, read <-chan struct{}, done <-chan produced) produced {
 	tick := time.NewTicker(orderHeartbeat)
 	defer tick.Stop()
@@ -235,8 +242,8 @@
 		}
 		msg := state()
 		msg.InputsRead = inputsRead
-		told := &peerpb.Response{Result: &peerpb.Response_Accepted{Accepted: msg}}
-		if writeFrame(st, told) != nil && ctx.Err() == nil {
+		progress := &peerpb.Response{Result: &peerpb.Response_Accepted{Accepted: msg}}
+		if writeFrame(st, progress) != nil && ctx.Err() == nil {
 			return <-done
 		}
 	}
--- a/internal/peer/stages_test.go
+++ b/internal/peer/stages_test.go
@@ -15,7 +15,8 @@
 	"topazmoor/internal/standin/memnet"
 )
 
-// slowStages takes its time for an order.
+// slowStages completes an order after the duration takes. It closes withdrawn if the order is
+// cancelled first.
 type slowStages struct {
 	takes     time.Duration
 	withdrawn chan struct{}
@@ -63,8 +64,9 @@
 	return cl, ln.Addr().String()
 }
 
-// inBubble runs f in virtual time. yamux keeps timers in a sync.Pool, and those
-// of a bubble must not be used outside of it, nor the other way round.
+// inBubble runs f in a synctest bubble, with virtual time. yamux keeps timers in a
+// sync.Pool; a timer made in a bubble must not be used outside of it, nor one made
+// outside within it.
 func inBubble(t *testing.T, f func(t *testing.T)) {
 	t.Helper()
 	emptyPools()
@@ -72,7 +74,8 @@
 	synctest.Test(t, f)
 }
 
-// emptyPools drops what sync.Pools hold; they keep it through one collection.
+// emptyPools empties all sync.Pools. A pool keeps its items through one garbage
+// collection, so it takes two.
 func emptyPools() {
 	runtime.GC()
 	runtime.GC()
@@ -82,12 +85,12 @@
 	inBubble(t, func(t *testing.T) {
 		c := qt.New(t)
 		cl, addr := stageServer(t, &slowStages{takes: 3 * time.Second, withdrawn: make(chan struct{})})
-		told := 0
+		progress := 0
 		o := stagebatch.Order{Service: "pool", Request: "r", Pieces: 2, Deadline: time.Now().Add(time.Minute)}
-		res, err := cl.Produce(t.Context(), addr, o, func(stagebatch.Waits) { told++ })
+		res, err := cl.Produce(t.Context(), addr, o, func(stagebatch.Waits) { progress++ })
 		c.Assert(err, qt.IsNil)
 		c.Assert(res.Handles, qt.DeepEquals, []string{"r/0", "r/1"})
-		c.Assert(told > int(3*time.Second/orderHeartbeat)-2, qt.IsTrue, qt.Commentf("told %d times", told))
+		c.Assert(progress > int(3*time.Second/orderHeartbeat)-2, qt.IsTrue, qt.Commentf("%d progress messages", progress))
 		o.Service = "late"
 		_, err = cl.Produce(t.Context(), addr, o, func(stagebatch.Waits) {})
 		c.Assert(err, qt.Equals, stagebatch.ErrLate)
