--- a/internal/fleet/decide.go
+++ b/internal/fleet/decide.go
@@ -52,23 +52,23 @@
 	// model may give up an engine if its demand per remaining slot is then at
 	// most IdleBelow. The gap between the two is the hysteresis.
 	ShortAbove, IdleBelow float64
-	// Rounds is the number of consecutive rounds in which a model must be short
-	// before it gets an engine.
-	Rounds int
+	// MinShortRounds is the number of consecutive rounds in which a model must be
+	// short before it gets an engine.
+	MinShortRounds int
 	// Cooldown is the minimum time between two orders to one engine: loading a
 	// model takes time and discards the engine's cache.
 	Cooldown time.Duration
-	// Loading is the maximum number of concurrent loads of models; it keeps them
-	// within the rate limit of the weight store.
-	Loading int
-	// LoadTime is the longest time that a load takes. An older order does not
-	// count against Loading.
-	LoadTime time.Duration
+	// MaxConcurrentLoads is the maximum number of concurrent loads of models; it
+	// keeps them within the rate limit of the weight store.
+	MaxConcurrentLoads int
+	// MaxLoadTime is the longest time that a load takes. An older order does not
+	// count against MaxConcurrentLoads.
+	MaxLoadTime time.Duration
 }
 
 // DefaultLimits are the values used in production.
 var DefaultLimits = Limits{
-	ShortAbove: 1.25, IdleBelow: 0.6, Rounds: 3, Cooldown: 3 * time.Minute, Loading: 1, LoadTime: 2 * time.Minute,
+	ShortAbove: 1.25, IdleBelow: 0.6, MinShortRounds: 3, Cooldown: 3 * time.Minute, MaxConcurrentLoads: 1, MaxLoadTime: 2 * time.Minute,
 }
 
 // Memory is the state that Decide keeps between rounds.
@@ -78,12 +78,12 @@
 }
 
 // Decide returns the new orders of one round: at most one per short model, as long
-// as Loading allows, starting with the model that has the highest demand per slot.
-// orders holds the last order of each engine.
+// as MaxConcurrentLoads allows, starting with the model that has the highest demand
+// per slot. orders holds the last order of each engine.
 func Decide(now time.Time, lim Limits, engines []Engine, demand Demand, orders map[string]Order, mem *Memory) []Order {
 	slots, copies := capacity(engines, orders)
 	short := mem.short(lim, demand, slots)
-	allowed := lim.Loading - pendingLoads(now, lim, engines, orders)
+	allowed := lim.MaxConcurrentLoads - pendingLoads(now, lim, engines, orders)
 	// The model with the highest demand per slot first.
 	sort.Slice(short, func(i, j int) bool { return slotLoad(demand, slots, short[i]) > slotLoad(demand, slots, short[j]) })
 	var out []Order
@@ -100,7 +100,7 @@
 }
 
 // short updates the counts in mem.Short and returns the models that were
-// short for at least Rounds rounds.
+// short for at least MinShortRounds rounds.
 func (mem *Memory) short(lim Limits, demand Demand, slots map[ModelKey]float64) []ModelKey {
 	if mem.Short == nil {
 		mem.Short = make(map[ModelKey]int)
@@ -112,7 +112,7 @@
 			continue
 		}
 		mem.Short[k]++
-		if mem.Short[k] >= lim.Rounds {
+		if mem.Short[k] >= lim.MinShortRounds {
 			out = append(out, k)
 		}
 	}
@@ -147,11 +147,11 @@
 }
 
 // pendingLoads counts the engines that don't hold the models of their last order
-// yet, if that order is younger than LoadTime.
+// yet, if that order is younger than MaxLoadTime.
 func pendingLoads(now time.Time, lim Limits, engines []Engine, orders map[string]Order) int {
 	n := 0
 	for _, e := range engines {
-		if o, ok := orders[e.ID]; ok && !slices.Equal(o.Models, e.Models) && now.Sub(o.At) < lim.LoadTime {
+		if o, ok := orders[e.ID]; ok && !slices.Equal(o.Models, e.Models) && now.Sub(o.At) < lim.MaxLoadTime {
 			n++
 		}
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -67,7 +67,7 @@
 
 // TestOracleDecideNeverLosesAModel runs rounds of random demand with engines that
 // carry out each order at once. No model may lose its last copy, and no round may
-// give more orders than Limits.Loading allows.
+// give more orders than Limits.MaxConcurrentLoads allows.
 func TestOracleDecideNeverLosesAModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		models := []string{"a", "b", "c"}
@@ -85,7 +85,7 @@
 				d[ModelKey{"p", m}] = float64(rapid.IntRange(0, 40).Draw(t, m))
 			}
 			out := decide(now, engines, d, orders, mem)
-			if len(out) > DefaultLimits.Loading {
+			if len(out) > DefaultLimits.MaxConcurrentLoads {
 				t.Fatalf("%d orders in one round", len(out))
 			}
 			for _, o := range out {
--- a/internal/peer/follow.go
+++ b/internal/peer/follow.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// follow sends updates to a follower until it closes its stream.
+// follow sends updates to a follower until it closes its stream, a write fails or this node stops.
 func (s *Server) follow(ctx context.Context, st *stream, m *peerpb.Follow) error {
 	if s.h.Teller == nil {
 		return verdict.New(verdict.NotRun, verdict.Internal, "this node tells nothing of the store")
