--- a/internal/node/balance.go
+++ b/internal/node/balance.go
@@ -12,8 +12,8 @@
 	"topazmoor/internal/settings"
 )
 
-// demandSample is how many nodes are asked for their demand in one round; the
-// sum is scaled to all nodes.
+// demandSample is the maximum number of other nodes queried for their demand in
+// one round. The sum is extrapolated to all live nodes.
 const demandSample = 16
 
 // balanceShard returns the control shard that orders engines to load models.
@@ -24,14 +24,15 @@
 		Client: &http.Client{Transport: &http.Transport{DialContext: n.env.Dial, DisableKeepAlives: true}},
 	}
 	s := &control.Shard{
-		Name: "balance", Node: n.s.Node.Name, Task: c, Mine: n.peers.firstChoice,
+		Name: "balance", Node: n.s.Node.Name, Task: c, Mine: n.peers.isPreferredNode,
 		Tables: n.env.Store, NewID: n.env.NewID, Log: n.log,
 	}
 	c.Epoch = s.Epoch
 	return s
 }
 
-// engines returns the engines that may be given orders.
+// engines returns the engines that may receive orders: those on live, undrained
+// hosts of generate pools with balancing enabled.
 func (n *Node) engines() []fleet.Engine {
 	pools := make(map[string]settings.Pool)
 	for _, p := range n.s.Pools {
@@ -40,7 +41,7 @@
 		}
 	}
 	var out []fleet.Engine
-	for _, h := range serving(n.board.Hosts.Get().Hosts, n.board.Catalog.Get()) {
+	for _, h := range servingHosts(n.board.Hosts.Get().Hosts, n.board.Catalog.Get()) {
 		p, ok := pools[h.Pool]
 		if !ok {
 			continue
@@ -52,8 +53,8 @@
 	return out
 }
 
-// demand estimates the demand over all nodes from this node and a sample of the
-// others.
+// demand estimates the demand of all live nodes, in calls per pool and model, from
+// this node's demand and that of a random sample of the others.
 func (n *Node) demand(ctx context.Context) (fleet.Demand, error) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
--- a/internal/node/balance_test.go
+++ b/internal/node/balance_test.go
@@ -19,17 +19,20 @@
 	"topazmoor/internal/standin/bubble"
 )
 
-// balanceResult is what a shift of demand between two models gave.
+// balanceResult is the outcome of one run of runDemandShift.
 type balanceResult struct {
 	attainment float64
-	copies     int
-	orders     int
-	err        error
+	// copies is the number of engines with the short model at the end.
+	copies int
+	// orders is the number of recorded orders to engines.
+	orders int
+	err    error
 }
 
-// shiftDemand runs four minutes in which one model has five engines and hardly
-// any requests, and another has one engine and twice what that can serve.
-func shiftDemand(balance bool) (res balanceResult) {
+// runDemandShift runs a cluster for four minutes in which one model has five engines
+// and hardly any requests, and another has one engine and twice the load that the
+// engine can serve.
+func runDemandShift(balance bool) (res balanceResult) {
 	specs := standin.Harbour()
 	for i := range specs {
 		if specs[i].Pool.Kind != settings.Generate {
@@ -92,11 +95,11 @@
 
 func TestBalanceGivesTheShortModelEngines(t *testing.T) {
 	var on balanceResult
-	synctest.Test(t, func(*testing.T) { on = shiftDemand(true) })
+	synctest.Test(t, func(*testing.T) { on = runDemandShift(true) })
 	qt.Assert(t, on.err, qt.IsNil)
 	qt.Assert(t, on.orders, qt.Equals, on.copies-1, qt.Commentf("each order is in the audit trail"))
 	qt.Assert(t, on.copies >= 2, qt.IsTrue, qt.Commentf("%d copies", on.copies))
-	qt.Assert(t, on.copies < 6, qt.IsTrue, qt.Commentf("the other model lost its last copy"))
+	qt.Assert(t, on.copies < 6, qt.IsTrue, qt.Commentf("no engine is left for the other model"))
 }
 
 // BenchmarkStageBalance reports the attainment over the four minutes with and
@@ -106,7 +109,7 @@
 		b.Run(name, func(b *testing.B) {
 			var res balanceResult
 			for b.Loop() {
-				bubble.Run(b, func() { res = shiftDemand(balance) })
+				bubble.Run(b, func() { res = runDemandShift(balance) })
 			}
 			if res.err != nil {
 				b.Fatal(res.err)
--- a/internal/node/batch_test.go
+++ b/internal/node/batch_test.go
@@ -18,7 +18,7 @@
 	"topazmoor/internal/store"
 )
 
-// submitBatch submits n items with inputs of their own.
+// submitBatch submits a batch of n items with distinct inputs to node i.
 func (c *cluster) submitBatch(i int, token, pipeline, name string, n int) (batch.Status, error) {
 	req := batch.SubmitRequest{Pipeline: pipeline}
 	for k := range n {
@@ -29,7 +29,7 @@
 	return c.caller.SubmitBatch(ctx, c.addr(i), token, name, req)
 }
 
-// results waits until a batch is done.
+// results waits until a batch is done and returns its results.
 func (c *cluster) results(i int, token, id string, limit time.Duration) ([]batch.Result, error) {
 	ctx, cancel := timeoutCtx(limit)
 	defer cancel()
@@ -68,14 +68,15 @@
 		other := (owner + 1) % 3
 		res, err := cl.results(other, "pilots-token", st.ID, 3*time.Minute)
 		c.Assert(err, qt.IsNil)
-		c.Assert(checkOnceResults("b1", 100, res, cl.world), qt.HasLen, 0)
+		c.Assert(checkOnceOnly("b1", 100, res, cl.world), qt.HasLen, 0)
 		_, err = cl.caller.BatchStatus(tctx, cl.addr(other), "dispatch-desk-token", st.ID)
 		c.Assert(err, qt.ErrorMatches, "not_found .*")
 	})
 }
 
-// checkOnceResults checks a batch of items that may not be repeated.
-func checkOnceResults(name string, n int, res []batch.Result, world *standin.World) []string {
+// checkOnceOnly returns the violations in the results of a batch of
+// non-idempotent items: each item has one result and ran at most once.
+func checkOnceOnly(name string, n int, res []batch.Result, world *standin.World) []string {
 	var out []string
 	if len(res) != n {
 		return []string{fmt.Sprintf("%s: %d results for %d items", name, len(res), n)}
@@ -92,18 +93,18 @@
 			out = append(out, fmt.Sprintf("%s: item %d ran %d times", name, i, starts))
 		case r.Status == http.StatusOK:
 			if json.Unmarshal(r.Body, &reply) != nil || !strings.Contains(string(reply.Output), input) {
-				out = append(out, fmt.Sprintf("%s: item %d has a foreign answer %s", name, i, r.Body))
+				out = append(out, fmt.Sprintf("%s: item %d has another request's answer %s", name, i, r.Body))
 			}
 		case json.Unmarshal(r.Body, &problem) != nil:
 			out = append(out, fmt.Sprintf("%s: item %d has no verdict: %s", name, i, r.Body))
 		case problem.Verdict == "not_run" && starts > 0:
-			out = append(out, fmt.Sprintf("%s: item %d is called not_run but ran", name, i))
+			out = append(out, fmt.Sprintf("%s: item %d is reported as not_run but ran", name, i))
 		}
 	}
 	return out
 }
 
-// batchStep is one failure while batches run.
+// batchStep is one fault injected while batches run.
 type batchStep struct {
 	at   time.Duration
 	kind string
@@ -112,9 +113,9 @@
 	n    int
 }
 
-// TestOracleBatches submits batches, restarts and pauses nodes and breaks the
-// platform, and then demands one result for every item of every batch that was
-// acknowledged.
+// TestOracleBatches submits batches while nodes restart and pause and the platform
+// and targets fail. Every item of every acknowledged batch must then have exactly
+// one result.
 func TestOracleBatches(t *testing.T) {
 	kinds := []string{"restart", "restart", "freeze", "platform-down", "lose-replies", "drop-commits", "late-commits", "target-reset-after", "target-hang"}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -169,7 +170,7 @@
 			out = append(out, err.Error())
 			continue
 		}
-		out = append(out, checkOnceResults(name, 70, res, cl.world)...)
+		out = append(out, checkOnceOnly(name, 70, res, cl.world)...)
 	}
 	return out
 }
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -26,7 +26,8 @@
 	"topazmoor/internal/store"
 )
 
-// startOnLoopback runs one node and its world over real TCP.
+// startOnLoopback runs one node with a stand-in platform and targets over real
+// TCP.
 func startOnLoopback(b *testing.B, specs []standin.PoolSpec) (*Node, *standin.World) {
 	b.Helper()
 	emptyPools()
@@ -174,9 +175,9 @@
 }
 
 func claimAtRate(rate int, span time.Duration) (commits, reads int64, added time.Duration) {
-	twin := store.NewMemory()
-	twin.SetFaults(store.Faults{Delay: 5 * time.Millisecond})
-	book := ledger.NewTableBook(twin, 40*time.Millisecond, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	mem := store.NewMemory()
+	mem.SetFaults(store.Faults{Delay: 5 * time.Millisecond})
+	book := ledger.NewTableBook(mem, 40*time.Millisecond, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	var wg sync.WaitGroup
 	var total atomic.Int64
 	n := rate * int(span.Seconds())
@@ -195,8 +196,8 @@
 		time.Sleep(span / time.Duration(n))
 	}
 	wg.Wait()
-	counts := twin.Counts()
-	// Let the book's own goroutine end before the bubble does.
+	counts := mem.Counts()
+	// The goroutine of the table book must end before the bubble does.
 	time.Sleep(time.Second)
 	return counts.Commits, counts.Reads, time.Duration(total.Load() / int64(n))
 }
@@ -240,9 +241,9 @@
 }
 
 // BenchmarkConfigSpread measures, with whole nodes in virtual time, how long an
-// accepted change takes to be in force at every node, one of which is lost
-// while it spreads, and what a node sends and receives meanwhile. The network
-// has no latency of its own: the figure is the protocol's.
+// accepted change takes to be in force at every live node while one node crashes,
+// and the membership traffic per node afterwards. The simulated network adds no
+// latency: the figure is that of the protocol alone.
 func BenchmarkConfigSpread(b *testing.B) {
 	for _, n := range []int{8, 100, 400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -281,7 +282,7 @@
 	}
 	start := time.Now()
 	cl.kill(n / 2)
-	for !cl.waitRevision(1) {
+	for !cl.allHaveRevision(1) {
 		time.Sleep(10 * time.Millisecond)
 	}
 	res.effect = time.Since(start)
@@ -295,8 +296,8 @@
 	return res
 }
 
-// spreadWithoutStore lets one node alone reach the store: the others have the
-// change from their peers.
+// spreadWithoutStore measures the spread of a change while only one node reaches
+// the store, so that the others receive the change from their peers.
 func (c *cluster) spreadWithoutStore() (time.Duration, error) {
 	for _, n := range c.all()[1:] {
 		n.gate.SetCut(true)
@@ -306,14 +307,14 @@
 	if err != nil {
 		return 0, err
 	}
-	for !c.waitRevision(2) {
+	for !c.allHaveRevision(2) {
 		time.Sleep(10 * time.Millisecond)
 	}
 	return time.Since(start), nil
 }
 
-// waitRevision reports whether all live nodes have the revision.
-func (c *cluster) waitRevision(rev int64) bool {
+// allHaveRevision reports whether all live nodes have the revision.
+func (c *cluster) allHaveRevision(rev int64) bool {
 	for _, n := range c.all() {
 		if !n.dead.Load() && n.board.Catalog.Get().Revision < rev {
 			return false
@@ -322,7 +323,8 @@
 	return true
 }
 
-// traffic is the bytes of all datagrams sent and received.
+// traffic returns the bytes of membership datagrams that all nodes sent and
+// received.
 func (c *cluster) traffic() int64 {
 	var sum int64
 	for _, n := range c.all() {
--- a/internal/node/books.go
+++ b/internal/node/books.go
@@ -10,27 +10,29 @@
 	"topazmoor/internal/routing"
 )
 
-// lateBooks resolves the ledger at the time of a call, because the ledger and
-// the peers refer to each other.
-type lateBooks struct{ n *Node }
+// localLedger is the ledger.Book of this node's local claims. It looks up n.ledger
+// at each call because the ledger and the peers refer to each other, and the
+// peers are built first.
+type localLedger struct{ n *Node }
 
 // Claim implements ledger.Book.
-func (b lateBooks) Claim(ctx context.Context, c ledger.Claim) (ledger.Grant, error) {
+func (b localLedger) Claim(ctx context.Context, c ledger.Claim) (ledger.Grant, error) {
 	return b.n.ledger.Local().Claim(ctx, c)
 }
 
 // Finish implements ledger.Book.
-func (b lateBooks) Finish(ctx context.Context, c ledger.Claim, out *ledger.Outcome) error {
+func (b localLedger) Finish(ctx context.Context, c ledger.Claim, out *ledger.Outcome) error {
 	return b.n.ledger.Local().Finish(ctx, c, out)
 }
 
 // Lookup implements ledger.Book.
-func (b lateBooks) Lookup(ctx context.Context, k ledger.Key) (ledger.Record, bool, error) {
+func (b localLedger) Lookup(ctx context.Context, k ledger.Key) (ledger.Record, bool, error) {
 	return b.n.ledger.Local().Lookup(ctx, k)
 }
 
-// Book implements ledger.Remote. A node that is thought dead is tried all the
-// same: the view may be wrong.
+// Book implements ledger.Remote. It also returns the book of a member marked
+// dead, because the membership view may be wrong. It returns nil for a node that
+// is not a member.
 func (p *peers) Book(node string) ledger.Book {
 	for _, m := range p.n.board.Members.Get() {
 		if m.Name == node {
@@ -43,8 +45,10 @@
 // BookAt implements ledger.Remote.
 func (p *peers) BookAt(addr string) ledger.Book { return p.client.Book(addr) }
 
-// Committer implements ledger.Remote: while there are few nodes each commits
-// its own claims, otherwise a few do for all.
+// Committer implements ledger.Remote. Up to Ledger.Committers live nodes, each
+// node commits its own claims and Committer returns "". Above that number, the
+// same Ledger.Committers nodes commit for all, and rendezvous hashing of the row
+// key selects one of them.
 func (p *peers) Committer(rowKey string) string {
 	names := []string{p.n.s.Node.Name}
 	for _, m := range p.live() {
@@ -58,7 +62,8 @@
 	return rendezvous(names[:limit], xxhash.Sum64String(rowKey))
 }
 
-// rendezvous returns the name with the highest hash for the key.
+// rendezvous returns the name with the highest combined hash of name and key
+// (rendezvous hashing). It returns "" if names is empty.
 func rendezvous(names []string, key uint64) string {
 	best, bestHash := "", uint64(0)
 	for _, name := range names {
@@ -69,9 +74,9 @@
 	return best
 }
 
-// firstChoice reports whether this node is the one that a batch, or another
-// piece of control work, hashes to.
-func (p *peers) firstChoice(id string) bool {
+// isPreferredNode reports whether rendezvous hashing over the live nodes assigns the
+// ID, of a batch or of a control shard, to this node.
+func (p *peers) isPreferredNode(id string) bool {
 	names := []string{p.n.s.Node.Name}
 	for _, m := range p.live() {
 		names = append(names, m.Name)
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -31,7 +31,7 @@
 	// mu guards nodes and retired while failures run beside a test.
 	mu    sync.Mutex
 	nodes []*testNode
-	// retired are the processes that restart replaced.
+	// retired are the killed processes that restart replaced.
 	retired []*testNode
 	deadIPs sync.Map
 	caller  *caller.Client
@@ -50,8 +50,8 @@
 	dead   atomic.Bool
 }
 
-// opTokenSHA256 is the hash of the operator's token "op".
-const opTokenSHA256 = "037aeaeaf4bbf26ddabe7256a8294dc52da48d575a1247b5c2598c47de7aebab"
+// operatorTokenSHA256 is the hash of the operator's token "op".
+const operatorTokenSHA256 = "037aeaeaf4bbf26ddabe7256a8294dc52da48d575a1247b5c2598c47de7aebab"
 
 const callerIP = "10.9.9.9"
 
@@ -59,7 +59,7 @@
 	return newClusterWith(nodes, standin.Harbour(), func(*settings.Settings) {})
 }
 
-// emptyPools drops what sync.Pools hold. yamux keeps timers in one, and a timer
+// emptyPools empties all sync.Pools. yamux keeps timers in one, and a timer
 // of an earlier synctest bubble must not be used in a later one; two garbage
 // collections empty every pool.
 func emptyPools() {
@@ -67,7 +67,8 @@
 	runtime.GC()
 }
 
-// readyCluster returns nodes that serve the example configuration.
+// readyCluster returns a cluster whose nodes are ready with the example
+// configuration.
 func readyCluster(nodes int) (*cluster, error) {
 	cl, err := newCluster(nodes)
 	if err != nil {
@@ -136,7 +137,7 @@
 		Node:      settings.Node{Name: name, DataCentre: fmt.Sprintf("dc-%d", c.ips%2+1)},
 		Listen:    settings.Listen{Caller: any, Admin: any, Peer: any, Observe: any},
 		Peers:     settings.Peers{KeyFile: "-"},
-		Operators: []settings.Operator{{Name: "op", TokenSHA256: opTokenSHA256}},
+		Operators: []settings.Operator{{Name: "op", TokenSHA256: operatorTokenSHA256}},
 		Pools:     c.world.Pools(),
 	}
 	c.adjust(&s)
@@ -158,8 +159,8 @@
 	return tn, nil
 }
 
-// kill ends a node as a crash does: from this moment nothing that it still
-// does reaches anybody.
+// kill simulates the crash of a node: it first cuts the node off from the network
+// and the store, so that nothing that its goroutines still do has an effect.
 func (c *cluster) kill(i int) { c.killNode(c.node(i)) }
 
 func (c *cluster) killNode(n *testNode) {
@@ -174,7 +175,8 @@
 	n.cancel()
 }
 
-// partition cuts dead nodes off.
+// partition cuts dead nodes off from the network, and also each connection for
+// which an extra function returns true.
 func (c *cluster) partition(extra ...func(from, to string) bool) {
 	isDead := func(ip string) bool {
 		_, ok := c.deadIPs.Load(ip)
@@ -215,7 +217,8 @@
 	return nil
 }
 
-// waitReady returns when all nodes have the revision and serve.
+// waitReady waits until all live nodes are ready and have the revision. It returns
+// false after the limit.
 func (c *cluster) waitReady(revision int64, limit time.Duration) bool {
 	deadline := time.Now().Add(limit)
 	for time.Now().Before(deadline) {
@@ -232,7 +235,7 @@
 	return false
 }
 
-// close ends everything; the bubble can exit afterwards.
+// close stops all nodes and the stand-ins; the bubble can end afterwards.
 func (c *cluster) close() {
 	c.world.Store.SetFaults(store.Faults{})
 	for i := range c.nodes {
@@ -243,24 +246,24 @@
 	}
 	c.caller.Close()
 	c.world.Close()
-	// Let what is still retrying run into its limits: a bubble must not end
-	// with sleepers.
+	// Goroutines that still retry must reach their timeouts: a bubble must not
+	// end while goroutines sleep.
 	time.Sleep(settleTime)
 }
 
-// settleTime is longer than every time-out of a node.
+// settleTime is longer than every timeout of a node.
 const settleTime = 10 * time.Minute
 
 func (c *cluster) addr(i int) string { return c.node(i).Addr(callerServer) }
 
-// node returns the process that is node i now.
+// node returns the current process of node i.
 func (c *cluster) node(i int) *testNode {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.nodes[i]
 }
 
-// all returns the present processes.
+// all returns the current processes, killed ones included.
 func (c *cluster) all() []*testNode {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -18,8 +18,8 @@
 	"topazmoor/internal/verdict"
 )
 
-// operate makes one call of the administration API of a node.
-func (c *cluster) operate(i int, method, path string, in any) *httptest.ResponseRecorder {
+// adminCall makes one call of the administration API of node i.
+func (c *cluster) adminCall(i int, method, path string, in any) *httptest.ResponseRecorder {
 	body, err := json.Marshal(in)
 	if err != nil {
 		panic(err)
@@ -36,7 +36,7 @@
 		{"name": "p", "template": "answer", "parameters": {"model": "` + model + `"}}]}]}`
 }
 
-func applied(c *qt.C, w *httptest.ResponseRecorder) admin.ApplyResult {
+func applyResult(c *qt.C, w *httptest.ResponseRecorder) admin.ApplyResult {
 	c.Assert(w.Code, qt.Equals, http.StatusOK, qt.Commentf("%s", w.Body))
 	var res admin.ApplyResult
 	c.Assert(json.Unmarshal(w.Body.Bytes(), &res), qt.IsNil)
@@ -44,12 +44,13 @@
 }
 
 // TestConfigOfRacingOperators submits two changes made on the same revision at
-// two nodes: one wins, the other is told what changed.
+// two nodes: one is accepted, the other gets a conflict that lists the changes
+// since its base revision.
 func TestConfigOfRacingOperators(t *testing.T) {
 	inCluster(t, 2, func(c *qt.C, cl *cluster) {
-		first := cl.operate(0, http.MethodPost, admin.PathConfig, admin.ApplyRequest{Base: 1, Manifest: manifest("atlas-7b")})
-		c.Assert(applied(c, first).Revision, qt.Equals, int64(2))
-		second := cl.operate(1, http.MethodPost, admin.PathConfig, admin.ApplyRequest{Base: 1, Manifest: `{"delete_accounts": ["pilots"]}`})
+		first := cl.adminCall(0, http.MethodPost, admin.PathConfig, admin.ApplyRequest{Base: 1, Manifest: manifest("atlas-7b")})
+		c.Assert(applyResult(c, first).Revision, qt.Equals, int64(2))
+		second := cl.adminCall(1, http.MethodPost, admin.PathConfig, admin.ApplyRequest{Base: 1, Manifest: `{"delete_accounts": ["pilots"]}`})
 		c.Assert(second.Code, qt.Equals, http.StatusConflict)
 		var conflict admin.Conflict
 		c.Assert(json.Unmarshal(second.Body.Bytes(), &conflict), qt.IsNil)
@@ -62,11 +63,11 @@
 func TestConfigIsCheckedAgainstWhatTargetsOffer(t *testing.T) {
 	inCluster(t, 1, func(c *qt.C, cl *cluster) {
 		req := admin.ApplyRequest{Manifest: manifest("unknown-70b")}
-		w := cl.operate(0, http.MethodPost, admin.PathConfig, req)
+		w := cl.adminCall(0, http.MethodPost, admin.PathConfig, req)
 		c.Assert(w.Code, qt.Equals, http.StatusBadRequest)
 		c.Assert(w.Body.String(), qt.Contains, "no target of pool engines offers model")
 		req.Force = true
-		c.Assert(applied(c, cl.operate(0, http.MethodPost, admin.PathConfig, req)).Accepted, qt.IsTrue)
+		c.Assert(applyResult(c, cl.adminCall(0, http.MethodPost, admin.PathConfig, req)).Accepted, qt.IsTrue)
 	})
 }
 
@@ -74,10 +75,10 @@
 	inCluster(t, 2, func(c *qt.C, cl *cluster) {
 		before := cl.node(0).board.Catalog.Get().Object(catalog.AccountItem, "pilots")
 		change := admin.ApplyRequest{Manifest: `{"delete_accounts": ["pilots"]}`}
-		c.Assert(applied(c, cl.operate(0, http.MethodPost, admin.PathConfig, change)).Revision, qt.Equals, int64(2))
+		c.Assert(applyResult(c, cl.adminCall(0, http.MethodPost, admin.PathConfig, change)).Revision, qt.Equals, int64(2))
 		change.Manifest = manifest("atlas-7b")
-		c.Assert(applied(c, cl.operate(0, http.MethodPost, admin.PathConfig, change)).Revision, qt.Equals, int64(3))
-		back := applied(c, cl.operate(0, http.MethodPost, admin.PathRevert, admin.RevertRequest{To: 1}))
+		c.Assert(applyResult(c, cl.adminCall(0, http.MethodPost, admin.PathConfig, change)).Revision, qt.Equals, int64(3))
+		back := applyResult(c, cl.adminCall(0, http.MethodPost, admin.PathRevert, admin.RevertRequest{To: 1}))
 		c.Assert(back.Revision, qt.Equals, int64(4))
 		c.Assert(cl.waitReady(4, time.Minute), qt.IsTrue)
 		for i := range cl.all() {
@@ -89,7 +90,7 @@
 }
 
 // TestConfigReachesNodesWithoutThePlatform cuts all nodes but one off from the
-// platform: they have the change from their peers.
+// platform: they receive the change from their peers.
 func TestConfigReachesNodesWithoutThePlatform(t *testing.T) {
 	inCluster(t, 4, func(c *qt.C, cl *cluster) {
 		time.Sleep(20 * time.Second)
@@ -104,8 +105,8 @@
 	})
 }
 
-// TestOutageOfAnHour breaks the platform for an hour: requests go on, and the
-// recovery brings no stampede.
+// TestOutageOfAnHour takes the platform down for an hour: nodes keep serving, and
+// the recovery causes no burst of reads.
 func TestOutageOfAnHour(t *testing.T) {
 	inCluster(t, 3, func(c *qt.C, cl *cluster) {
 		time.Sleep(time.Minute)
@@ -132,8 +133,8 @@
 	})
 }
 
-// TestConfigReachesANodeBackFromAPause changes the configuration while a node
-// stands still.
+// TestConfigReachesANodeBackFromAPause changes the configuration while a node is
+// paused.
 func TestConfigReachesANodeBackFromAPause(t *testing.T) {
 	inCluster(t, 3, func(c *qt.C, cl *cluster) {
 		n := cl.node(2)
@@ -150,7 +151,7 @@
 }
 
 // TestMembershipSpreadsControlWork checks that names are spread evenly over
-// nodes, and that a node that leaves moves its own names only.
+// nodes, and that removing a node moves only the names that it had.
 func TestMembershipSpreadsControlWork(t *testing.T) {
 	c := qt.New(t)
 	nodes := []string{"n1", "n2", "n3", "n4", "n5", "n6", "n7", "n8"}
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -14,13 +14,13 @@
 	"topazmoor/internal/store"
 )
 
-// controlShards returns the background work of which one node at a time is the
-// worker.
+// controlShards returns the control shards: background tasks, each of which runs
+// on one node at a time.
 func (n *Node) controlShards() []suture.Service {
 	var out []suture.Service
 	add := func(name string, task control.Task) {
 		out = append(out, &control.Shard{
-			Name: name, Node: n.s.Node.Name, Task: task, Mine: n.peers.firstChoice,
+			Name: name, Node: n.s.Node.Name, Task: task, Mine: n.peers.isPreferredNode,
 			Tables: n.env.Store, NewID: n.env.NewID, Log: n.log,
 		})
 	}
@@ -29,20 +29,21 @@
 	}
 	add("events", control.SweepEvents(n.env.Store))
 	add("nodes", n.sweepNodes())
-	if n.balances() {
+	if n.balancingEnabled() {
 		out = append(out, n.balanceShard())
 	}
 	return out
 }
 
-// balances reports whether the settings let engines of any pool be balanced.
-func (n *Node) balances() bool {
+// balancingEnabled reports whether the settings enable balancing for any pool.
+func (n *Node) balancingEnabled() bool {
 	return slices.ContainsFunc(n.s.Pools, func(p settings.Pool) bool { return p.Balance })
 }
 
-// sweepNodes deletes the rows of nodes that stopped or died: new nodes would
-// try their addresses for nothing. The row of a node that came back under its
-// name has another version.
+// sweepNodes returns the task that deletes the rows of stopped and dead nodes from
+// the node table, so that starting nodes do not try their addresses. A node that
+// restarted under the same name has rewritten its row, which then has another
+// version.
 func (n *Node) sweepNodes() control.Task {
 	gone := func(r store.Row, _ time.Time) bool {
 		for _, m := range n.board.Members.Get() {
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -11,8 +11,8 @@
 	"topazmoor/internal/store"
 )
 
-// A drain of a data centre is a change like others: in force at all nodes, shown, also to a
-// node that starts from a peer, and lifted again.
+// A drain of a data centre takes effect at all nodes, is in their status and in the
+// items of a peer snapshot, and can be lifted.
 func TestDataCentreIsDrainedAndTakenBack(t *testing.T) {
 	inCluster(t, 3, func(c *qt.C, cl *cluster) {
 		hosts := []store.Host{
@@ -24,13 +24,13 @@
 		for i := range cl.all() {
 			n := cl.node(i)
 			cfg := n.board.Catalog.Get()
-			c.Assert(serving(hosts, cfg), qt.DeepEquals, hosts[:1], qt.Commentf("node %d", i))
+			c.Assert(servingHosts(hosts, cfg), qt.DeepEquals, hosts[:1], qt.Commentf("node %d", i))
 			c.Assert(n.Status().Drained, qt.DeepEquals, []string{"data centre dock"})
 			c.Assert(slices.ContainsFunc(cfg.Items(), func(it catalog.Item) bool { return it.Key() == item.Key() }), qt.IsTrue)
 			c.Assert(string(cfg.Object(item.Kind, item.Name)), qt.Equals, string(item.Value))
 		}
 		c.Assert(cl.submit([]catalog.Item{{Kind: item.Kind, Name: item.Name}}), qt.IsNil)
 		time.Sleep(3 * time.Second)
-		c.Assert(serving(hosts, cl.node(0).board.Catalog.Get()), qt.HasLen, 2)
+		c.Assert(servingHosts(hosts, cl.node(0).board.Catalog.Get()), qt.HasLen, 2)
 	})
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node assembles one process of the system from its settings: it
-// provisions every part, runs them under a supervisor, and stops gracefully.
+// Package node assembles one process of the system from its settings. It builds
+// the components, runs them under a supervisor and shuts them down gracefully.
 package node
 
 import (
@@ -30,7 +30,7 @@
 	"topazmoor/internal/watch"
 )
 
-// Env is the outside world of a node; tests replace it.
+// Env holds the external dependencies of a node. Tests replace them.
 type Env struct {
 	// Dial opens connections to targets and peers.
 	Dial dispatch.Dial
@@ -38,27 +38,31 @@
 	Listen func(addr string) (net.Listener, error)
 	// ListenPacket opens a datagram socket.
 	ListenPacket func(addr string) (membership.PacketConn, error)
-	// Store is the platform.
+	// Store is the client of the platform's table service.
 	Store store.Store
-	// PeerKey is the secret that all nodes share.
+	// PeerKey is the secret that all nodes share to authenticate each other.
 	PeerKey []byte
-	// NewID returns IDs unique over all nodes and restarts.
+	// NewID returns an ID that is unique across all nodes and restarts.
 	NewID func() string
-	// Seed seeds random choices that need not be secret.
+	// Seed seeds random choices that need not be unpredictable.
 	Seed uint64
 	Log  *slog.Logger
 }
 
-// Board is the node's blackboard.
+// Board is the node's blackboard: the shared state that its components publish
+// and watch.
 type Board struct {
+	// Catalog is the configuration in force.
 	Catalog blackboard.Cell[*catalog.Compiled]
-	Hosts   blackboard.Cell[HostView]
+	// Hosts is the host list in use.
+	Hosts blackboard.Cell[HostView]
 	// Members are the other nodes.
 	Members blackboard.Cell[[]membership.Member]
 }
 
-// HostView is the host list, sorted by ID.
+// HostView is the host list.
 type HostView struct {
+	// Hosts are sorted by ID.
 	Hosts []store.Host
 }
 
@@ -73,7 +77,7 @@
 	sched    *scheduler.Scheduler
 	calls    *dispatch.Client
 	follower *config.Follower
-	// hosts follows the host list.
+	// hosts watches the host table.
 	hosts   *watch.Table
 	ledger  *ledger.Router
 	table   *ledger.TableBook
@@ -88,8 +92,8 @@
 	stopping chan struct{}
 }
 
-// Provision builds a node and opens its listeners. Nothing is served yet. On
-// an error everything is closed again.
+// Provision builds a node and opens its listeners. The node serves requests only
+// after Serve is called.
 func Provision(s settings.Settings, env Env) (*Node, error) {
 	n := &Node{
 		s: s, env: env, stopping: make(chan struct{}), metrics: metrics.New(), started: time.Now(),
@@ -115,8 +119,8 @@
 	return n, nil
 }
 
-// Addr returns the address that a server listens on: "caller", "admin",
-// "peer" or "observe".
+// Addr returns the listen address of the named server ("caller", "admin",
+// "peer" or "observe"), or "" for an unknown name.
 func (n *Node) Addr(name string) string {
 	if name == peerServer {
 		return n.peers.server.Addr()
@@ -143,7 +147,7 @@
 	sup.Add(supervise.Named("targets", &hostPublisher{n: n}))
 	sup.Add(supervise.Named("load reports", &loadPoller{n: n}))
 	sup.Add(supervise.Named("batches", n.batches))
-	sup.Add(supervise.Named("stops", &stopper{n: n}))
+	sup.Add(supervise.Named("stops", &scheduledStop{n: n}))
 	sup.Add(supervise.Named("administration", n.admin))
 	for _, s := range n.servers {
 		sup.Add(supervise.Named(s.name, s))
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -151,7 +151,7 @@
 }
 
 // TestTicketIsRedeemedAtANodeThatKnowsNoOther redeems a ticket at another node
-// than its issuer before the nodes have heard of each other.
+// than its issuer while that node knows no other member.
 func TestTicketIsRedeemedAtANodeThatKnowsNoOther(t *testing.T) {
 	inCluster(t, 2, func(c *qt.C, cl *cluster) {
 		ticket, err := cl.caller.Ticket(tctx, cl.addr(0), "pilots-token")
@@ -163,8 +163,8 @@
 	})
 }
 
-// TestOutageWhatTheCallerIsTold states the answers of docs/design/003 during an
-// outage of the platform.
+// TestOutageWhatTheCallerIsTold checks the replies to callers during an outage of
+// the platform against docs/design/003.
 func TestOutageWhatTheCallerIsTold(t *testing.T) {
 	inCluster(t, 2, func(c *qt.C, cl *cluster) {
 		ticket, err := cl.caller.Ticket(tctx, cl.addr(0), "pilots-token")
@@ -205,8 +205,8 @@
 	})
 }
 
-// TestOutageCutOffNodeIsNotReady cuts one node off from everybody, then from the
-// platform alone.
+// TestOutageCutOffNodeIsNotReady cuts one node off from the platform, and then from
+// all other nodes as well. It is not ready only in the second case.
 func TestOutageCutOffNodeIsNotReady(t *testing.T) {
 	inCluster(t, 3, func(c *qt.C, cl *cluster) {
 		time.Sleep(20 * time.Second)
@@ -230,7 +230,8 @@
 	})
 }
 
-// TestSlowSenderIsCutOff sends a body that never ends.
+// TestSlowSenderIsCutOff sends an incomplete body: the node must answer after the
+// read timeout.
 func TestSlowSenderIsCutOff(t *testing.T) {
 	inCluster(t, 1, func(c *qt.C, cl *cluster) {
 		conn, err := cl.net.DialFrom(callerIP)(tctx, "tcp", cl.addr(0))
@@ -247,7 +248,7 @@
 }
 
 // TestSlowTargetIsHedgedAndTheLoserCancelled makes one encoder hang: the stage
-// is answered by the other, and the first call is ended.
+// is answered by the other, and the call to the first is cancelled.
 func TestSlowTargetIsHedgedAndTheLoserCancelled(t *testing.T) {
 	inCluster(t, 1, func(c *qt.C, cl *cluster) {
 		for range 20 {
@@ -275,7 +276,7 @@
 	})
 }
 
-// TestNoRetryPastTheDeadline breaks every call of a pool: the refusal comes
+// TestNoRetryPastTheDeadline makes every call of a pool fail: the refusal comes
 // before the deadline and within the retry limits.
 func TestNoRetryPastTheDeadline(t *testing.T) {
 	inCluster(t, 1, func(c *qt.C, cl *cluster) {
@@ -300,14 +301,14 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		inputs := rapid.SliceOfN(rapid.StringMatching(`[a-z]{1,12}( [a-z]{1,12}){0,4}`), 1, 5).Draw(rt, "inputs")
 		var diff []string
-		synctest.Test(t, func(*testing.T) { diff = differ(inputs) })
+		synctest.Test(t, func(*testing.T) { diff = differences(inputs) })
 		if len(diff) > 0 {
 			rt.Fatalf("%s", strings.Join(diff, "\n"))
 		}
 	})
 }
 
-func differ(inputs []string) []string {
+func differences(inputs []string) []string {
 	cl, err := readyCluster(2)
 	if err != nil {
 		return []string{err.Error()}
@@ -340,7 +341,7 @@
 // TestStopInterruptsNothing stops a node while a request runs on it.
 func TestStopInterruptsNothing(t *testing.T) {
 	inCluster(t, 2, func(c *qt.C, cl *cluster) {
-		// The request outlasts the time that is left to the balancer.
+		// The request takes longer than stop.balancer_lag.
 		for id, target := range cl.world.Targets {
 			if strings.HasPrefix(id, "engines") {
 				target.SetFaults(standin.TargetFaults{SlowFactor: 50})
@@ -397,8 +398,8 @@
 	})
 }
 
-// TestStopAtAScheduledTime schedules a stop, and a second one that would take
-// too many nodes at once.
+// TestStopAtAScheduledTime schedules a stop of one node. The process that replaces
+// it must ignore the same entry.
 func TestStopAtAScheduledTime(t *testing.T) {
 	inCluster(t, 3, func(c *qt.C, cl *cluster) {
 		at := time.Now().Add(time.Minute)
@@ -413,7 +414,7 @@
 		c.Assert(reason, qt.Equals, "stopping")
 		c.Assert(<-cl.node(1).done, qt.IsNil)
 		cl.node(1).done <- nil
-		// Its successor of the same name does not obey the old order.
+		// The next process of the same name ignores the old entry.
 		c.Assert(cl.restart(1), qt.IsNil)
 		c.Assert(cl.waitReady(2, time.Minute), qt.IsTrue)
 		time.Sleep(time.Minute)
@@ -422,8 +423,8 @@
 	})
 }
 
-// TestControlShardsAreTakenAndRecorded checks that the control work is taken
-// and recorded, and that it goes on after its owner died.
+// TestControlShardsAreTakenAndRecorded checks that each control shard gets an owner
+// and an event for it, and that other nodes take over after an owner's crash.
 func TestControlShardsAreTakenAndRecorded(t *testing.T) {
 	inCluster(t, 3, func(c *qt.C, cl *cluster) {
 		time.Sleep(3 * time.Minute)
--- a/internal/node/noderows.go
+++ b/internal/node/noderows.go
@@ -7,15 +7,15 @@
 	"topazmoor/internal/store"
 )
 
-// nodeRow is a row of the node table.
+// nodeRow is the value of a row of the node table; its key is the node name.
 type nodeRow struct {
 	Addr        string `json:"addr"`
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// enter writes this node's row. A repeat is harmless: the row is this
-// process's own.
-func (p *peers) enter(ctx context.Context) bool {
+// register writes this node's row and reports whether the write succeeded. Repeating
+// the write is harmless: the row belongs to this process.
+func (p *peers) register(ctx context.Context) bool {
 	self := p.runner.Self()
 	value, err := json.Marshal(nodeRow{Addr: self.Addr, Incarnation: self.Incarnation})
 	if err != nil {
@@ -26,8 +26,9 @@
 	return err == nil
 }
 
-// leave removes the row at a planned stop, best effort.
-func (p *peers) leave(ctx context.Context) {
+// deregister announces the planned stop to the other members and deletes this node's
+// row. A failed deletion is only logged.
+func (p *peers) deregister(ctx context.Context) {
 	p.runner.Leave()
 	w := store.Write{Table: nodeTable, Key: p.n.s.Node.Name, Delete: true}
 	if _, err := p.n.env.Store.Commit(ctx, store.Tx{Writes: []store.Write{w}}); err != nil {
@@ -35,6 +36,8 @@
 	}
 }
 
+// readSeeds sets the membership seeds to the configured seeds and the addresses of
+// the other nodes in the node table. It reports whether the table was read.
 func (p *peers) readSeeds(ctx context.Context) bool {
 	rows, err := p.n.env.Store.Scan(ctx, nodeTable, "", "", nodeListLimit)
 	if err != nil {
--- a/internal/node/oracle_test.go
+++ b/internal/node/oracle_test.go
@@ -1,10 +1,10 @@
 package node
 
 // The oracle tests run real nodes in virtual time under random failures, and
-// compare what each caller was told with what the targets really ran.
+// compare the result that each caller received with what the targets ran.
 //
-// Deliberate defects that were tried, and the number of scripts until
-// TestOracleOutcomes caught each (seed 1):
+// Deliberate defects, and the number of scripts until TestOracleOutcomes caught
+// each (seed 1):
 //
 //	claim row created without its condition (fencing removed)       6
 //	pipeline run before the claim (claim after dispatch)            1
@@ -18,9 +18,10 @@
 //	ticket granted when its issuer did not answer                  15
 //	key released after any refusal                                  6
 //
-// Not caught, and why: a lost commit reply taken for failure (sound, it only
-// leaves a claim without an owner); a connection not sealed (needs a race that
-// the scripts do not make; TestSealForbidsLaterWrites covers it).
+// Defects that the scripts do not catch, and why: a lost commit reply taken for
+// failure (sound, it only leaves a claim without an owner); a connection not
+// sealed (needs a race that the scripts do not make; TestSealForbidsLaterWrites
+// covers it).
 // TestOracleBatches caught items that may not be repeated run without a claim
 // at its first script.
 
@@ -45,10 +46,10 @@
 
 const (
 	oracleNodes = 3
-	// oracleSpan is the time over which steps happen.
+	// oracleSpan is the period in which the steps of a script start.
 	oracleSpan = 15 * time.Second
-	// oracleRest is the healthy time after them, in which everything ends.
-	oracleRest = 30 * time.Second
+	// oracleRecovery is the wait after the last step, in which all requests end.
+	oracleRecovery = 30 * time.Second
 )
 
 // step is one event of a script.
@@ -72,7 +73,7 @@
 	"target-reset-before", "target-reset-after", "target-cut", "target-wrong", "target-hang", "target-refuse",
 }
 
-// serviceTargets are the targets that may not be repeated.
+// serviceTargets are the targets whose calls are not idempotent.
 var serviceTargets = []string{"pilot-confirmation-1", "pilot-confirmation-2"}
 
 func drawScript(t *rapid.T) []step {
@@ -94,8 +95,8 @@
 	return steps
 }
 
-// told is what one caller was told.
-type told struct {
+// observed is one request and the result that its caller received.
+type observed struct {
 	step   step
 	input  string
 	key    string
@@ -109,13 +110,14 @@
 	*cluster
 	start time.Time
 
-	mu      sync.Mutex
-	told    []told
-	tickets map[int]string
-	calls   sync.WaitGroup
+	mu       sync.Mutex
+	observed []observed
+	tickets  map[int]string
+	calls    sync.WaitGroup
 }
 
-// TestOracleOutcomes plays faults of nodes, targets and the store against callers.
+// TestOracleOutcomes injects faults of nodes, targets and the store while callers
+// send requests, and checks every result against the runs at the targets.
 //
 // Seeds that showed a fault: 53343, a release of an abandoned claim outlived its node
 // (ledger.TestClosedBookStopsReleasingAnAbandonedClaim).
@@ -141,7 +143,7 @@
 		time.Sleep(time.Until(r.start.Add(s.at)))
 		r.apply(s)
 	}
-	time.Sleep(oracleRest)
+	time.Sleep(oracleRecovery)
 	r.calls.Wait()
 	return r.check()
 }
@@ -222,7 +224,7 @@
 	time.AfterFunc(span, func() { r.world.Store.SetFaults(store.Faults{}) })
 }
 
-// confirm sends a request that may not be repeated. Requests with the same key
+// confirm sends a non-idempotent request. Requests with the same key
 // number share their key and their input.
 func (r *run) confirm(s step) {
 	n := r.node(s.node)
@@ -230,19 +232,19 @@
 		return
 	}
 	r.calls.Go(func() {
-		input, key := r.keyOf(s, n)
+		input, key := r.inputAndKey(s, n)
 		ctx, cancel := timeoutCtx(20 * time.Second)
 		defer cancel()
 		res, err := r.caller.Run(ctx, caller.Request{
 			Addr: n.Addr(callerServer), Token: "pilots-token", Pipeline: "berth-confirmation", Input: input, Key: key,
 		})
-		r.note(told{step: s, input: input, key: key, result: res, err: err, at: time.Now()})
+		r.record(observed{step: s, input: input, key: key, result: res, err: err, at: time.Now()})
 	})
 }
 
-// keyOf returns the input and key of a request; without a key each request is
-// its own.
-func (r *run) keyOf(s step, n *testNode) (input, key string) {
+// inputAndKey returns the input and key of a request. A request without a key gets a
+// unique input.
+func (r *run) inputAndKey(s step, n *testNode) (input, key string) {
 	if s.key == 0 {
 		return "own " + r.newID(), ""
 	}
@@ -269,7 +271,7 @@
 	return fmt.Sprintf("ticket %d", s.key), ticket
 }
 
-// ask sends an idempotent request with an input of its own.
+// ask sends an idempotent request with a unique input.
 func (r *run) ask(s step) {
 	n := r.node(s.node)
 	if n.dead.Load() {
@@ -283,24 +285,25 @@
 			Addr: n.Addr(callerServer), Token: "dispatch-desk-token", Pipeline: "radio-desk",
 			Input: input, Stream: s.kind == "ask-stream",
 		})
-		r.note(told{step: s, input: input, result: res, err: err, at: time.Now()})
+		r.record(observed{step: s, input: input, result: res, err: err, at: time.Now()})
 	})
 }
 
-func (r *run) note(t told) {
+func (r *run) record(t observed) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.told = append(r.told, t)
+	r.observed = append(r.observed, t)
 }
 
-// check compares what the callers were told with what ran.
+// check returns the violations found by comparing the results of the callers with
+// the runs at the targets.
 func (r *run) check() []string {
 	var out []string
-	bad := func(t told, format string, args ...any) {
-		out = append(out, fmt.Sprintf("%s at node %d, input %q key %q told %+v: ", t.step.kind, t.step.node, t.input, t.key, t.result)+fmt.Sprintf(format, args...))
+	bad := func(t observed, format string, args ...any) {
+		out = append(out, fmt.Sprintf("%s at node %d, input %q key %q result %+v: ", t.step.kind, t.step.node, t.input, t.key, t.result)+fmt.Sprintf(format, args...))
 	}
 	answers := make(map[string]string)
-	for _, t := range r.told {
+	for _, t := range r.observed {
 		if strings.HasPrefix(t.step.kind, "ask") {
 			r.checkAnswer(t, bad)
 			continue
@@ -317,7 +320,7 @@
 			continue
 		}
 		if want := fmt.Sprintf(`{"confirmed":%s}`, mustJSON(t.input)); string(t.result.Reply.Output) != want {
-			bad(t, "got a foreign or partial answer %s", t.result.Reply.Output)
+			bad(t, "got another request's answer or a partial one %s", t.result.Reply.Output)
 		}
 		if len(starts) == 0 {
 			bad(t, "answered but never ran")
@@ -331,7 +334,7 @@
 	return out
 }
 
-func (r *run) checkRefusal(t told, starts []time.Time, bad func(told, string, ...any)) {
+func (r *run) checkRefusal(t observed, starts []time.Time, bad func(observed, string, ...any)) {
 	p := t.result.Problem
 	if p == nil {
 		return
@@ -350,14 +353,15 @@
 	}
 }
 
-// checkAnswer checks an idempotent request: a complete answer of its own, or a
-// refusal; a connection may break only where a node was in trouble.
-func (r *run) checkAnswer(t told, bad func(told, string, ...any)) {
+// checkAnswer checks the result of an idempotent request: an answer must be the
+// complete answer to this request, and stream tokens must come in order. Broken
+// connections are accepted.
+func (r *run) checkAnswer(t observed, bad func(observed, string, ...any)) {
 	if t.result == nil {
 		return
 	}
 	if t.result.Reply != nil && !strings.Contains(string(t.result.Reply.Output), mustJSON(wantText(t.input))) {
-		bad(t, "got a foreign or partial answer %s", t.result.Reply.Output)
+		bad(t, "got another request's answer or a partial one %s", t.result.Reply.Output)
 	}
 	for i, tok := range t.result.Tokens {
 		if tok.Index != i {
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -15,27 +15,31 @@
 	"topazmoor/internal/scheduler"
 )
 
-// nodeTable is the table in which nodes enter their peer addresses at start.
+// nodeTable is the store table in which each node registers its peer address at
+// start.
 const nodeTable = "node"
 
 const (
-	// nodeListPoll is the time between two reads of the node table.
+	// nodeListPoll is the mean time between two reads of the node table. The
+	// actual wait is uniformly random between 0.5 and 1.5 times this value.
 	nodeListPoll = time.Minute
-	// nodeListRetry is the time between tries while the service is down.
+	// nodeListRetry is the wait after a failed registration or a failed read of
+	// the node table.
 	nodeListRetry = 2 * time.Second
-	// nodeListLimit bounds one read of the node table.
+	// nodeListLimit is the maximum number of rows in one read of the node table.
 	nodeListLimit = 1000
-	// revisionWait is how long answers to a revision poll are waited for.
+	// revisionWait is how long refresh waits for the replies to its pings.
 	revisionWait = 300 * time.Millisecond
-	// listenTries bounds the search for a port that is free for TCP and UDP.
+	// listenTries is the maximum number of attempts to find a port that is free
+	// for both TCP and UDP.
 	listenTries = 20
-	// forgetAfter is how long a dead node is remembered; longer than regions
-	// are cut from each other.
-	forgetAfter = 6 * time.Hour
+	// forgetDeadAfter is how long a dead node stays in the membership list. It must
+	// be longer than a network partition between regions lasts.
+	forgetDeadAfter = 6 * time.Hour
 )
 
-// peers is the node's side of the other nodes. It implements config.Peers,
-// ledger.Remote and suture.Service.
+// peers holds the node's connections to the other nodes and its membership
+// runner. It implements config.Peers, ledger.Remote and suture.Service.
 type peers struct {
 	n      *Node
 	client *peer.Client
@@ -60,16 +64,16 @@
 		Name: n.s.Node.Name, Addr: ln.Addr().String(), DataCentre: n.s.Node.DataCentre,
 		Incarnation: uint64(n.started.UnixNano()),
 	}
-	cfg := membership.Config{Interval: n.s.Peers.Interval.Std(), SuspectFor: n.s.Peers.SuspectAfter.Std(), ForgetAfter: forgetAfter}
+	cfg := membership.Config{Interval: n.s.Peers.Interval.Std(), SuspectFor: n.s.Peers.SuspectAfter.Std(), ForgetAfter: forgetDeadAfter}
 	st := membership.New(self, n.s.Peers.Seeds, cfg, rand.New(rand.NewPCG(n.env.Seed, self.Incarnation)))
-	p.runner = membership.NewRunner(pc, n.env.PeerKey, st, &n.board.Members, p.heard, n.log)
+	p.runner = membership.NewRunner(pc, n.env.PeerKey, st, &n.board.Members, p.onHigherRevision, n.log)
 	dial, err := n.peerDial()
 	if err != nil {
 		return err
 	}
 	p.client = peer.NewClient(dial, n.env.PeerKey, self.Name, nil)
 	h := peer.Handler{
-		Books:    lateBooks{n},
+		Books:    localLedger{n},
 		Changes:  func(after int64) []catalog.Change { return n.follower.Since(after) },
 		Snapshot: func() (int64, []catalog.Item) { c := n.board.Catalog.Get(); return c.Revision, c.Items() },
 		Demand:   func() []scheduler.ModelDemand { return n.sched.ModelDemand() },
@@ -98,13 +102,14 @@
 		tc := tls.Client(c, cfg)
 		if err := tc.HandshakeContext(ctx); err != nil {
 			c.Close()
-			return nil, eris.Wrap(err, "peer TLS")
+			return nil, eris.Wrap(err, "peer TLS handshake")
 		}
 		return tc, nil
 	}, nil
 }
 
-// listenBoth opens the same port for calls (TCP) and datagrams (UDP).
+// listenBoth opens the same port for peer calls (TCP) and for membership
+// datagrams (UDP).
 func listenBoth(env Env, addr string) (net.Listener, membership.PacketConn, error) {
 	var err error
 	for range listenTries {
@@ -126,8 +131,9 @@
 // Announce implements config.Peers.
 func (p *peers) Announce(revision int64) { p.runner.SetRevision(revision) }
 
-// Snapshot implements config.Peers: it asks the member with the highest
-// revision that it hears of.
+// Snapshot implements config.Peers. It fetches the configuration from the live
+// member that reports the highest revision. It returns revision 0 if no live
+// member has a higher revision than this node.
 func (p *peers) Snapshot(ctx context.Context) (int64, []catalog.Item, error) {
 	p.refresh(ctx)
 	var best membership.Member
@@ -142,8 +148,10 @@
 	return p.client.Snapshot(ctx, best.Addr)
 }
 
-// heard fetches what a peer with a higher revision has.
-func (p *peers) heard(addr string, revision int64) {
+// onHigherRevision handles a peer's report of a higher configuration revision. It
+// fetches the configuration from the peer in the background. If that fails, it
+// makes the follower read the store.
+func (p *peers) onHigherRevision(addr string, revision int64) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
@@ -154,6 +162,8 @@
 	}()
 }
 
+// fetch brings the configuration to the revision by the peer's changes, or by its
+// snapshot if the changes do not suffice.
 func (p *peers) fetch(ctx context.Context, addr string, revision int64) error {
 	have := p.n.board.Catalog.Get().Revision
 	if have >= revision {
@@ -177,7 +187,8 @@
 	return nil
 }
 
-// refresh asks all nodes for their revisions and waits for the answers.
+// refresh pings all live nodes, whose replies carry their revisions, and waits
+// revisionWait for the replies.
 func (p *peers) refresh(ctx context.Context) {
 	p.runner.PingAll()
 	select {
@@ -186,7 +197,7 @@
 	}
 }
 
-// live returns the members that answer.
+// live returns the other members that are alive or suspect.
 func (p *peers) live() []membership.Member {
 	var out []membership.Member
 	for _, m := range p.n.board.Members.Get() {
@@ -197,23 +208,24 @@
 	return out
 }
 
-// membershipBytes returns the bytes of datagrams sent and received.
+// membershipBytes returns the number of bytes of membership datagrams sent and
+// received since start.
 func (p *peers) membershipBytes() float64 {
 	t := p.runner.Traffic()
 	return float64(t.InBytes + t.OutBytes)
 }
 
-// nodes returns the number of live nodes, this one included.
+// nodes returns the number of live nodes, including this one.
 func (p *peers) nodes() int { return len(p.live()) + 1 }
 
-// Serve enters this node into the node table and reads the others' addresses
-// from it.
+// Serve implements suture.Service. It registers this node in the node table and
+// periodically reads the addresses of the other nodes from it.
 func (p *peers) Serve(ctx context.Context) error {
-	entered := false
+	registered := false
 	for {
 		wait := nodeListPoll/2 + rand.N(nodeListPoll)
-		entered = entered || p.enter(ctx)
-		if !p.readSeeds(ctx) || !entered {
+		registered = registered || p.register(ctx)
+		if !p.readSeeds(ctx) || !registered {
 			wait = nodeListRetry
 		}
 		p.client.CloseIdle(time.Now())
@@ -225,7 +237,7 @@
 	}
 }
 
-// close ends all connections.
+// close closes the peer server and all connections to peers.
 func (p *peers) close() {
 	p.server.Close()
 	p.client.Close()
--- a/internal/node/pollers.go
+++ b/internal/node/pollers.go
@@ -19,17 +19,20 @@
 	"topazmoor/internal/watch"
 )
 
-// hostPublisher keeps the scheduler's targets up to date with the host list and
-// with the drain orders. It implements suture.Service.
+// hostPublisher updates the scheduler's targets and node count when the host list,
+// the configuration (including drains) or the membership changes. It implements
+// suture.Service.
 type hostPublisher struct {
 	n *Node
-	// last is what the scheduler was told; it is told again only when it
-	// changed.
-	last published
+	// last identifies the inputs of the last update of the scheduler. Equal
+	// inputs cause no update.
+	last publishedInputs
 }
 
-// published identifies what the targets were made from.
-type published struct {
+// publishedInputs identifies the inputs of an update of the scheduler.
+type publishedInputs struct {
+	// hosts points to the first element of the host list; each new list has a
+	// new backing array.
 	hosts    *store.Host
 	revision int64
 	nodes    int
@@ -52,19 +55,20 @@
 	}
 }
 
-// applyHosts takes in the host list as the store has it.
+// applyHosts publishes the host list read from the store. It skips rows that do
+// not decode and ignores an empty list while a non-empty one is in use.
 func (n *Node) applyHosts(v watch.View) {
 	hosts := make([]store.Host, 0, len(v.Rows))
 	for _, r := range v.Rows {
 		var h store.Host
 		if err := json.Unmarshal(r.Value, &h); err != nil {
-			n.log.Error("entry of the host list left out", "host", r.Key, "err", err)
+			n.log.Error("host list row skipped: decoding failed", "host", r.Key, "err", err)
 			continue
 		}
 		hosts = append(hosts, h)
 	}
 	if len(hosts) == 0 && len(n.board.Hosts.Get().Hosts) > 0 {
-		n.log.Error("the host list is empty; the last one stays in use")
+		n.log.Error("empty host list ignored: previous list stays in use")
 		return
 	}
 	slices.SortFunc(hosts, func(a, b store.Host) int { return cmp.Compare(a.ID, b.ID) })
@@ -74,7 +78,7 @@
 func (p *hostPublisher) publish() {
 	hosts := p.n.board.Hosts.Get().Hosts
 	cfg := p.n.board.Catalog.Get()
-	now := published{revision: cfg.Revision, nodes: p.n.peers.nodes()}
+	now := publishedInputs{revision: cfg.Revision, nodes: p.n.peers.nodes()}
 	if len(hosts) > 0 {
 		now.hosts = &hosts[0]
 	}
@@ -83,11 +87,12 @@
 	}
 	p.last = now
 	p.n.sched.SetNodes(now.nodes)
-	p.n.sched.SetHosts(routing.Subset(p.n.s.Node.Name, serving(hosts, cfg)), cfg.Drained)
+	p.n.sched.SetHosts(routing.Subset(p.n.s.Node.Name, servingHosts(hosts, cfg)), cfg.Drained)
 }
 
-// serving returns the hosts that may get new work.
-func serving(hosts []store.Host, cfg *catalog.Compiled) []store.Host {
+// servingHosts returns the hosts that may receive new work: live hosts that are not
+// drained, in data centres that are not drained.
+func servingHosts(hosts []store.Host, cfg *catalog.Compiled) []store.Host {
 	out := make([]store.Host, 0, len(hosts))
 	for _, h := range hosts {
 		if h.State == store.Live && !cfg.Drained(h.ID) && !cfg.DataCentreDrained(h.DataCentre) {
@@ -98,21 +103,21 @@
 }
 
 const (
-	// loadInterval is the time between two load reports of a target while there
-	// are few.
+	// loadInterval is the time between two load reports of one target while there
+	// are at most maxLoadReportsPerSecond targets.
 	loadInterval = time.Second
-	// loadBudget is the most reports a second that a node asks for; with more
-	// targets the interval grows. It holds the node's bytes and processor time
-	// for control, see docs/CAPACITY.md.
-	loadBudget = 8
-	// loadTimeout bounds one report.
+	// maxLoadReportsPerSecond is the maximum number of load reports per second
+	// that a node requests. With more targets, each target's interval grows. The limit bounds
+	// the node's network traffic and CPU time for control; see docs/CAPACITY.md.
+	maxLoadReportsPerSecond = 8
+	// loadTimeout is the timeout of one load report.
 	loadTimeout = 500 * time.Millisecond
-	// maxLoadReport bounds the body of a report, in bytes.
-	maxLoadReport = 4 << 10
+	// maxLoadReportBytes is the maximum size of a report's body, in bytes.
+	maxLoadReportBytes = 4 << 10
 )
 
-// loadPoller asks targets for their load, in turn. It implements
-// suture.Service.
+// loadPoller requests load reports from the scheduler's targets, one target after
+// another, without waiting for the previous reply. It implements suture.Service.
 type loadPoller struct{ n *Node }
 
 // Serve implements suture.Service.
@@ -126,7 +131,7 @@
 		targets := p.n.sched.Targets()
 		for _, t := range targets {
 			wg.Go(func() { p.report(ctx, client, t) })
-			if !sleep(ctx, pace(len(targets))) {
+			if !sleep(ctx, loadRequestPause(len(targets))) {
 				return ctx.Err()
 			}
 		}
@@ -136,12 +141,13 @@
 	}
 }
 
-// pace is the pause between two reports.
-func pace(targets int) time.Duration {
-	return max(loadInterval/time.Duration(max(targets, 1)), time.Second/loadBudget)
+// loadRequestPause returns the pause between two load requests of a node with that
+// many targets.
+func loadRequestPause(targets int) time.Duration {
+	return max(loadInterval/time.Duration(max(targets, 1)), time.Second/maxLoadReportsPerSecond)
 }
 
-// sleep reports false when ctx ended.
+// sleep waits for d. It returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -151,18 +157,20 @@
 	}
 }
 
-// report asks one target. A failure leaves the last report in use: whether the
-// target works is learned from its calls.
+// report fetches the load of one target and passes it to the scheduler. After a
+// failure the last report stays in use: the health of a target is determined from
+// its calls, not from its load reports.
 func (p *loadPoller) report(ctx context.Context, client *http.Client, t scheduler.TargetRef) {
 	sent := p.n.sched.Sent(t.Pool, t.ID)
 	calls, err := fetchLoad(ctx, client, t.Addr)
 	if err != nil {
-		p.n.log.Debug("no load report", "target", t.ID, "err", err)
+		p.n.log.Debug("load report failed", "target", t.ID, "err", err)
 		return
 	}
 	p.n.sched.Report(t.Pool, t.ID, calls, sent)
 }
 
+// fetchLoad returns the number of calls that run or wait at the target.
 func fetchLoad(ctx context.Context, client *http.Client, addr string) (int, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/load", nil)
 	if err != nil {
@@ -170,13 +178,13 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return 0, eris.Wrap(err, "load report")
+		return 0, eris.Wrap(err, "fetch load report")
 	}
 	defer resp.Body.Close()
 	var l struct {
 		Running int `json:"running"`
 		Waiting int `json:"waiting"`
 	}
-	err = json.NewDecoder(io.LimitReader(resp.Body, maxLoadReport)).Decode(&l)
-	return l.Running + l.Waiting, eris.Wrap(err, "load report")
+	err = json.NewDecoder(io.LimitReader(resp.Body, maxLoadReportBytes)).Decode(&l)
+	return l.Running + l.Waiting, eris.Wrap(err, "decode load report")
 }
--- a/internal/node/provision.go
+++ b/internal/node/provision.go
@@ -41,7 +41,7 @@
 	execute := func(ctx context.Context, it batch.Item) (int, []byte) {
 		return n.front.RunItem(ctx, frontdoor.Item(it))
 	}
-	n.batches = batch.NewRunner(store, n.s.Node.Name, execute, n.peers.firstChoice, n.log)
+	n.batches = batch.NewRunner(store, n.s.Node.Name, execute, n.peers.isPreferredNode, n.log)
 }
 
 func (n *Node) provisionAdmin(store *config.Store) {
@@ -50,7 +50,7 @@
 		Store: store, Offer: n.follower.Offer, Status: n.Status, Refresh: n.peers.refresh,
 		Stop:     func(string) { n.RequestStop() },
 		StopTime: n.s.Stop.BalancerLag.Std() + n.s.Stop.Drain.Std(),
-		NewID:    n.env.NewID, Log: n.log, Offers: n.offers,
+		NewID:    n.env.NewID, Log: n.log, Offers: n.whyNotOffered,
 		Events: func(ctx context.Context, after time.Time, limit int) ([]control.Event, error) {
 			return control.Events(ctx, n.env.Store, after, limit)
 		},
@@ -60,28 +60,29 @@
 	})
 }
 
-// offers says why no target of a pool serves a model with an adapter, or "".
-func (n *Node) offers(pool, model, adapter string) string {
-	any := false
+// whyNotOffered returns "" if a target of the pool offers the model with the
+// adapter, and otherwise the reason why none does. A pool without hosts gives "".
+func (n *Node) whyNotOffered(pool, model, adapter string) string {
+	hasHosts := false
 	for _, h := range n.board.Hosts.Get().Hosts {
 		if h.Pool != pool {
 			continue
 		}
-		any = true
-		if holds(h.Models, model) && holds(h.Adapters, adapter) {
+		hasHosts = true
+		if includes(h.Models, model) && includes(h.Adapters, adapter) {
 			return ""
 		}
 	}
-	if !any {
+	if !hasHosts {
 		return ""
 	}
 	return fmt.Sprintf("no target of pool %s offers model %q with adapter %q", pool, model, adapter)
 }
 
-// holds reports whether a target with these models, or adapters, serves one; an
-// empty list serves all.
-func holds(loaded []string, want string) bool {
-	return want == "" || len(loaded) == 0 || slices.Contains(loaded, want)
+// includes reports whether the list of a target's models, or adapters, includes
+// want. An empty list includes every name, and an empty want is in every list.
+func includes(listed []string, want string) bool {
+	return want == "" || len(listed) == 0 || slices.Contains(listed, want)
 }
 
 func (n *Node) provisionGauges() {
@@ -115,8 +116,8 @@
 		conns   int
 	}{
 		{callerServer, n.s.Listen.Caller, n.front, n.s.Limits.Connections},
-		{adminServer, n.s.Listen.Admin, n.admin, sideConnections},
-		{observeServer, n.s.Listen.Observe, observe, sideConnections},
+		{adminServer, n.s.Listen.Admin, n.admin, maxAuxConnections},
+		{observeServer, n.s.Listen.Observe, observe, maxAuxConnections},
 	} {
 		srv, err := newServer(l.name, l.listen, l.handler, l.conns, n.s.Limits.ReadTimeout.Std(), n.env.Listen)
 		if err != nil {
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -24,20 +24,23 @@
 )
 
 const (
-	// sideConnections bounds the connections of the admin and observe servers.
-	sideConnections = 128
-	// idleTimeout closes connections without a request.
+	// maxAuxConnections is the maximum number of connections of the admin server,
+	// and of the observe server.
+	maxAuxConnections = 128
+	// idleTimeout is how long a keep-alive connection may be idle between requests.
 	idleTimeout = 60 * time.Second
-	// maxHeaderBytes bounds the header of one request.
+	// maxHeaderBytes is the maximum size of a request's header.
 	maxHeaderBytes = 16 << 10
 )
 
-// server is one HTTP listener of a node. It implements suture.Service.
+// server is one HTTP server of a node with its listener. It implements
+// suture.Service.
 type server struct {
 	name     string
 	listener net.Listener
 	http     *http.Server
-	cancel   context.CancelCauseFunc
+	// cancel cancels the contexts of all requests.
+	cancel context.CancelCauseFunc
 }
 
 func newServer(name string, l settings.Listener, h http.Handler, conns int, readTimeout time.Duration, listen func(string) (net.Listener, error)) (*server, error) {
@@ -75,7 +78,7 @@
 	return err
 }
 
-// close ends everything at once.
+// close cancels all requests and closes the listener and all connections at once.
 func (s *server) close() {
 	s.cancel(nil)
 	s.http.Close()
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -7,7 +7,8 @@
 	"topazmoor/internal/admin"
 )
 
-// Ready reports whether the balancer should send callers here, and why not.
+// Ready reports whether the load balancer should route callers to this node. If
+// not, it also returns the reason.
 func (n *Node) Ready() (bool, string) {
 	select {
 	case <-n.stopping:
@@ -20,21 +21,21 @@
 	if len(n.board.Hosts.Get().Hosts) == 0 {
 		return false, "no target hosts yet: the host list was not read"
 	}
-	if n.cutOff() {
+	if n.isolated() {
 		return false, "cut off: neither the platform nor any of the known nodes answers"
 	}
 	return true, ""
 }
 
-// cutOffAfter is how long the platform may be silent before a node without
-// peers is taken as cut off.
-const cutOffAfter = 30 * time.Second
+// isolationTimeout is the time since the last read from the platform after which a node without live peers counts as isolated.
+const isolationTimeout = 30 * time.Second
 
-// cutOff reports whether the node hears nobody while it knows that there are
-// others. A node that is alone by design goes on through an outage.
-func (n *Node) cutOff() bool {
+// isolated reports whether the node is isolated: it knows other nodes, none of them
+// is live, and the last read from the platform is older than isolationTimeout. A
+// node that knows no others stays ready through an outage of the platform.
+func (n *Node) isolated() bool {
 	known := n.board.Members.Get()
-	return len(known) > 0 && len(n.peers.live()) == 0 && time.Since(n.follower.LastRead()) > cutOffAfter
+	return len(known) > 0 && len(n.peers.live()) == 0 && time.Since(n.follower.LastRead()) > isolationTimeout
 }
 
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
@@ -46,7 +47,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Status implements the status call of the administration API.
+// Status returns the result of the status call of the administration API.
 func (n *Node) Status() admin.Status {
 	ready, reason := n.Ready()
 	cfg := n.board.Catalog.Get()
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -10,21 +10,23 @@
 	"topazmoor/internal/frontdoor"
 )
 
-// RequestStop starts the graceful shutdown.
+// RequestStop starts the graceful shutdown. Further calls have no effect.
 func (n *Node) RequestStop() {
 	n.stopOnce.Do(func() { close(n.stopping) })
 }
 
-// stopper obeys the scheduled stop of this node. It implements suture.Service.
-type stopper struct{ n *Node }
+// scheduledStop requests the stop of this node at the time that the configuration
+// schedules. It implements suture.Service.
+type scheduledStop struct{ n *Node }
 
 // Serve implements suture.Service.
-func (s *stopper) Serve(ctx context.Context) error {
+func (s *scheduledStop) Serve(ctx context.Context) error {
 	for {
 		changed := s.n.board.Catalog.Changed()
 		var due <-chan time.Time
 		st, ok := s.n.board.Catalog.Get().Stop(s.n.s.Node.Name)
-		// An order from before this process was obeyed by the one before it.
+		// A stop scheduled before this process started applied to its
+		// predecessor.
 		if ok && st.At.After(s.n.started) {
 			due = time.After(time.Until(st.At))
 		}
@@ -40,10 +42,12 @@
 	}
 }
 
-// drain is the graceful shutdown: readiness has fallen already; wait for the
-// balancer to notice, then for the requests in flight.
+// drain performs the graceful shutdown. The node already reports that it is not
+// ready. drain waits until the balancer has had time to notice, then until the
+// requests in flight have ended, at most Stop.Drain. It cancels the remaining
+// requests.
 func (n *Node) drain(ctx context.Context) {
-	n.log.Info("stopping: readiness is down, waiting for the balancer", "lag", n.s.Stop.BalancerLag.Std())
+	n.log.Info("stopping: not ready, waiting for the balancer", "lag", n.s.Stop.BalancerLag.Std())
 	select {
 	case <-ctx.Done():
 	case <-time.After(n.s.Stop.BalancerLag.Std()):
@@ -52,29 +56,30 @@
 	defer cancel()
 	err := errors.Join(n.caller().http.Shutdown(ctx), n.front.Wait(ctx))
 	if err != nil {
-		n.log.Error("stop.drain was too short: requests are cut", "in_flight", n.front.InFlight())
-		n.cut()
+		n.log.Error("stop.drain exceeded: cancelling requests in flight", "in_flight", n.front.InFlight())
+		n.cancelRequests()
 		return
 	}
-	n.peers.leave(ctx)
+	n.peers.deregister(ctx)
 	n.log.Info("stopped: no request was interrupted")
 }
 
-// cutTime is how long requests that are cut have to tell their callers so.
-const cutTime = time.Second
+// cancelWait is how long cancelled requests may take to send their refusals.
+const cancelWait = time.Second
 
-// cut ends the requests in flight; their callers are told whether they may have
-// run. Claimed requests run on until the process ends, and their callers get no
-// answer.
-func (n *Node) cut() {
+// cancelRequests cancels the requests in flight. Their callers receive a refusal
+// that states whether the request may have run. Claimed requests are not cancelled: they run
+// until the process ends, and their callers get no answer.
+func (n *Node) cancelRequests() {
 	n.caller().cancel(frontdoor.ErrStopping)
-	ctx, cancel := context.WithTimeout(context.Background(), cutTime)
+	ctx, cancel := context.WithTimeout(context.Background(), cancelWait)
 	defer cancel()
 	if err := n.front.Wait(ctx); err != nil {
-		n.log.Error("callers got no answer", "in_flight", n.front.InFlight())
+		n.log.Error("requests in flight after cancellation get no answer", "in_flight", n.front.InFlight())
 	}
 }
 
+// caller returns the server for callers.
 func (n *Node) caller() *server {
 	for _, s := range n.servers {
 		if s.name == callerServer {
@@ -84,6 +89,7 @@
 	panic("node: no caller server")
 }
 
+// cleanup closes all servers and connections at once.
 func (n *Node) cleanup() {
 	for _, s := range n.servers {
 		s.close()
--- a/internal/node/tls_test.go
+++ b/internal/node/tls_test.go
@@ -51,9 +51,9 @@
 }
 
 // TestEveryListenerSpeaksTLS starts two nodes over real TCP with TLS on all
-// listeners; the peer listener demands client certificates.
+// listeners; the peer listener requires client certificates.
 func TestEveryListenerSpeaksTLS(t *testing.T) {
-	// Timers of earlier bubbles must not be used outside them.
+	// Pooled timers of earlier synctest bubbles must not be used outside them.
 	emptyPools()
 	c := qt.New(t)
 	plain := certFiles(c, t.TempDir())
