--- a/internal/ledger/commit.go
+++ b/internal/ledger/commit.go
@@ -19,8 +19,9 @@
 	finishOp
 )
 
-// op is one operation of a group. A claim op creates a row, or replaces that of
-// a released claim; a finish op replaces the row of a granted claim.
+// op is one operation of a group, a set of operations committed in one
+// transaction. A claim op creates a row, or replaces that of a released claim; a
+// finish op replaces the row of a granted claim.
 type op struct {
 	kind    opKind
 	ctx     context.Context
@@ -39,8 +40,8 @@
 func (b *TableBook) enqueue(o *op) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if o.kind == claimOp && time.Now().Before(b.down) {
-		return errStoreDown
+	if o.kind == claimOp && time.Now().Before(b.refuseUntil) {
+		return errStoreUnavailable
 	}
 	if len(b.queue) >= queueLimit {
 		b.stats.Dropped++
@@ -49,16 +50,16 @@
 	b.queue = append(b.queue, o)
 	if !b.running {
 		b.running = true
-		go b.drain()
+		go b.commitQueue()
 	}
 	return nil
 }
 
-// drain commits groups until the queue is empty.
-func (b *TableBook) drain() {
+// commitQueue commits groups until the queue is empty.
+func (b *TableBook) commitQueue() {
 	for {
-		b.pace()
-		group := b.next()
+		b.waitInterval()
+		group := b.nextGroup()
 		if group == nil {
 			return
 		}
@@ -66,25 +67,26 @@
 	}
 }
 
-// pace waits until the interval since the last commit has passed.
-func (b *TableBook) pace() {
+// waitInterval waits until the interval since the last commit has passed.
+func (b *TableBook) waitInterval() {
 	b.mu.Lock()
-	wait := time.Until(b.last.Add(b.interval))
+	wait := time.Until(b.lastCommit.Add(b.interval))
 	b.mu.Unlock()
 	if wait > 0 {
 		time.Sleep(wait)
 	}
 }
 
-// next takes a group in which each row stands once.
-func (b *TableBook) next() []*op {
+// nextGroup removes a group from the queue in which each row occurs once. Without
+// one it returns nil and marks the committing goroutine as ended.
+func (b *TableBook) nextGroup() []*op {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	rows := make(map[string]bool)
 	var group, rest []*op
 	for _, o := range b.queue {
 		if o.ctx.Err() != nil {
-			o.done <- opResult{err: errStoreDown}
+			o.done <- opResult{err: errStoreUnavailable}
 			continue
 		}
 		if len(group) == groupLimit || rows[o.write.Key] {
@@ -99,49 +101,50 @@
 		b.running = false
 		return nil
 	}
-	b.last = time.Now()
+	b.lastCommit = time.Now()
 	return group
 }
 
-// commit settles every op of the group.
+// commit commits the group and sends every op its result. It retries what a
+// conflict or a lost reply left unapplied.
 func (b *TableBook) commit(group []*op) {
 	for len(group) > 0 {
-		ctx, cancel := context.WithDeadline(context.Background(), latest(group))
-		version, err := b.tables.Commit(ctx, transaction(group))
+		ctx, cancel := context.WithDeadline(context.Background(), latestDeadline(group))
+		version, err := b.tables.Commit(ctx, newTx(group))
 		cancel()
-		b.count(len(group))
+		b.countCommit(len(group))
 		var conflict *store.ConflictError
 		switch {
 		case err == nil:
-			b.remember(group, version)
-			succeed(group)
+			b.storeVersions(group, version)
+			replyGranted(group)
 			return
 		case errors.As(err, &conflict):
 			group = b.resolve(group, conflict.Failed)
 		case errors.Is(err, store.ErrUnknown):
-			group = b.settle(group)
+			group = b.resolveLostReply(group)
 		default:
-			b.markDown()
-			fail(group, errStoreDown)
+			b.markUnavailable()
+			replyError(group, errStoreUnavailable)
 			return
 		}
 	}
 }
 
-func (b *TableBook) markDown() {
+func (b *TableBook) markUnavailable() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.down = time.Now().Add(downPause)
+	b.refuseUntil = time.Now().Add(unavailablePause)
 }
 
-func (b *TableBook) count(ops int) {
+func (b *TableBook) countCommit(ops int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.stats.Commits++
 	b.stats.Ops += int64(ops)
 }
 
-func transaction(group []*op) store.Tx {
+func newTx(group []*op) store.Tx {
 	var tx store.Tx
 	for _, o := range group {
 		tx.Conditions = append(tx.Conditions, store.Condition{Table: claimTable, Key: o.write.Key, Version: o.version})
@@ -150,7 +153,7 @@
 	return tx
 }
 
-func latest(group []*op) time.Time {
+func latestDeadline(group []*op) time.Time {
 	t := group[0].until
 	for _, o := range group {
 		if o.until.After(t) {
@@ -160,41 +163,43 @@
 	return t
 }
 
-func succeed(group []*op) {
+func replyGranted(group []*op) {
 	for _, o := range group {
 		o.done <- opResult{grant: Grant{Granted: true}}
 	}
 }
 
-func fail(group []*op, err error) {
+func replyError(group []*op, err error) {
 	for _, o := range group {
 		o.done <- opResult{err: err}
 	}
 }
 
-// resolve answers the ops whose conditions failed by what their rows hold, and
-// returns the others, which were not applied.
+// resolve handles the ops whose conditions failed by reading their rows. It
+// returns the ops to commit again: those whose conditions held, which were not
+// applied, and those that may replace a released claim.
 func (b *TableBook) resolve(group []*op, failed []int) []*op {
-	bad := make(map[int]bool, len(failed))
+	conflicting := make(map[int]bool, len(failed))
 	for _, i := range failed {
-		bad[i] = true
+		conflicting[i] = true
 	}
 	var rest []*op
 	for i, o := range group {
-		if !bad[i] || b.readBack(o) {
+		if !conflicting[i] || b.readBack(o) {
 			rest = append(rest, o)
 		}
 	}
 	return rest
 }
 
-// readBack answers an op by the row that stands in its way. It reports true
-// when the row is that of a released claim, which the op may replace: nobody
-// may run the key meanwhile, as the condition on the row's version shows.
-func (b *TableBook) readBack(o *op) (again bool) {
+// readBack sends an op its result from the row that its condition conflicts
+// with. It returns true instead if the row is that of a released claim, which
+// the op may replace: the condition on the row's version fails if another
+// attempt claims the key in between.
+func (b *TableBook) readBack(o *op) (retry bool) {
 	if o.kind == finishOp {
-		// Somebody, or our own earlier commit, changed the row; Finish reads it
-		// again and decides.
+		// Another commit, possibly an earlier one of this node, changed the row;
+		// Finish reads it again and decides.
 		o.done <- opResult{err: eris.New("ledger: row changed")}
 		return false
 	}
@@ -202,8 +207,9 @@
 	defer cancel()
 	row, err := b.tables.Get(ctx, claimTable, o.claim.rowKey())
 	if err != nil {
-		// Down, or swept in between; the caller may try again.
-		o.done <- opResult{err: errStoreDown}
+		// The service is unavailable, or the sweep deleted the row after the
+		// conflict; the caller may try again.
+		o.done <- opResult{err: errStoreUnavailable}
 		return false
 	}
 	rec, err := decodeRecord(row)
@@ -219,27 +225,27 @@
 	return false
 }
 
-// settle finds out whether a commit whose reply was lost took effect. A
-// transaction is atomic, so one row tells for all. It returns the group for
-// another commit if it did not; the conditions make that commit safe even if
-// the lost one arrives late.
-func (b *TableBook) settle(group []*op) []*op {
+// resolveLostReply determines whether a commit whose reply was lost was applied. A
+// transaction is atomic, so one row shows it for the group. If it was not,
+// resolveLostReply returns the group for another commit; the conditions make
+// that commit safe even if the lost one is applied late.
+func (b *TableBook) resolveLostReply(group []*op) []*op {
 	for {
-		ctx, cancel := context.WithDeadline(context.Background(), latest(group))
+		ctx, cancel := context.WithDeadline(context.Background(), latestDeadline(group))
 		applied, err := b.applied(ctx, group[0])
 		cancel()
 		if err == nil && applied {
-			succeed(group)
+			replyGranted(group)
 			return nil
 		}
 		if err == nil {
 			return group
 		}
-		if !time.Now().Before(latest(group)) {
-			fail(group, errStoreDown)
+		if !time.Now().Before(latestDeadline(group)) {
+			replyError(group, errStoreUnavailable)
 			return nil
 		}
-		time.Sleep(settlePause)
+		time.Sleep(retryPause)
 	}
 }
 
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -3,9 +3,10 @@
 // repeat gets the same answer.
 //
 // A claim belongs to one attempt and is never inherited by another: if its
-// holder dies, the outcome of the key is unknown for good. Three books keep
-// claims: TableBook in the platform's table service, TicketBook in the memory
-// of the process that issued a ticket, and a remote book at another node.
+// holder dies, the outcome of the key is unknown permanently. Three
+// implementations of Book store claims: TableBook in the platform's table
+// service, TicketBook in the memory of the process that issued a ticket, and a
+// remote one that calls another node.
 // Source: docs/design/003-at-most-once.md.
 package ledger
 
@@ -29,7 +30,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Claim is the wish of one attempt to be the only one that runs a key.
+// Claim is a request by one attempt for the exclusive right to run a key.
 type Claim struct {
 	Key
 	// Fingerprint hashes the pipeline and the body; a key that is used again
@@ -37,27 +38,27 @@
 	Fingerprint string `json:"fingerprint"`
 	// Attempt is the request ID of the attempt, unique over all nodes.
 	Attempt string `json:"attempt"`
-	// Until is when the attempt has ended for sure, its own deadline.
+	// Until is the deadline of the attempt; it has ended by then.
 	Until time.Time `json:"until"`
 }
 
-// Outcome is how a claimed request ended, as told to its caller.
+// Outcome is the response to a claimed request, as sent to its caller.
 type Outcome struct {
-	// Status is the HTTP status and Body the JSON body of the answer.
+	// Status is the HTTP status and Body the JSON body of the response.
 	Status int    `json:"status"`
 	Body   []byte `json:"body"`
 }
 
-// Record is what a book holds for a key.
+// Record is the stored state of a key.
 type Record struct {
 	Claim
-	// Outcome is nil while the attempt runs, and stays nil when its holder
-	// died.
+	// Outcome is nil while the attempt runs, and stays nil if its holder dies.
 	Outcome *Outcome `json:"outcome,omitempty"`
-	// Released says that the attempt gave the key back because nothing ran. The
-	// row stays: were it deleted, a commit of an earlier claim that the store
-	// applies late would find its condition, that there is no row, true again,
-	// and hold the key for an attempt that ended.
+	// Released is true if the attempt released the key because nothing ran. The
+	// row is not deleted: an earlier claim is committed on the condition that
+	// no row exists. If the store applied that commit after a deletion, the
+	// condition would hold again and the key would belong to an attempt that
+	// has ended.
 	Released bool `json:"released,omitempty"`
 }
 
@@ -66,24 +67,24 @@
 	return r.Attempt == attempt && r.Outcome == nil && !r.Released
 }
 
-// Grant answers a Claim.
+// Grant is the result of a Claim.
 type Grant struct {
-	// Granted says that this attempt holds the key.
+	// Granted is true if this attempt holds the key.
 	Granted bool
-	// Existing is the record of the attempt that holds the key otherwise.
+	// Existing is the record of the attempt that holds the key; it is set if
+	// Granted is false.
 	Existing Record
 }
 
-// Book keeps claims.
+// Book is a registry of claims.
 type Book interface {
-	// Claim grants the key to one attempt for ever. A repeat of the same
-	// attempt is granted again. An error means that this attempt does not hold
-	// the key; it says nothing about other attempts.
+	// Claim grants the key to one attempt until Finish releases it. A repeated
+	// call of the same attempt is granted again until it has an outcome. After
+	// an error this attempt must not run; another attempt may hold the key.
 	Claim(ctx context.Context, c Claim) (Grant, error)
 	// Finish records the outcome of a granted attempt; a nil outcome releases
 	// the key and is allowed only if the attempt proved that nothing ran.
 	Finish(ctx context.Context, c Claim, out *Outcome) error
-	// Lookup returns the record of a key; found is false when the book has
-	// none.
+	// Lookup returns the record of a key; found is false if there is none.
 	Lookup(ctx context.Context, k Key) (rec Record, found bool, err error)
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -19,12 +19,13 @@
 	"topazmoor/internal/verdict"
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// linOp is one call of a book for the linearizability checker.
+// linOp is one call of a TableBook, as input of the linearizability checker.
 type linOp struct {
 	attempt string
-	// finish is false for a claim; release says that the outcome is nil.
+	// finish is false for a Claim call; release is true for a Finish call with a
+	// nil outcome.
 	finish, release bool
 }
 
@@ -35,8 +36,8 @@
 	holder  string
 }
 
-// linState is the state of one key: who holds it, and whether it has an
-// outcome.
+// linState is the state of one key: the attempt that holds it, and whether it
+// has an outcome.
 type linState struct {
 	holder   string
 	finished bool
@@ -75,18 +76,19 @@
 	return linState{holder: s.holder, finished: true}, linResult{}
 }
 
-// linStep is one event of a script over several books and one key.
+// linStep is one attempt at the key: when it starts, which TableBook it uses,
+// and the faults of the store that start with it.
 type linStep struct {
-	at     time.Duration
-	book   int
-	finish bool
-	keep   bool
-	faults store.Faults
-	fault  bool
+	at          time.Duration
+	book        int
+	finish      bool
+	withOutcome bool
+	faults      store.Faults
+	fault       bool
 }
 
-// TestOracleTableBookIsLinearizable runs attempts at one key at several books
-// over one store with lost, dropped and late commits.
+// TestOracleTableBookIsLinearizable runs attempts at one key on several
+// TableBooks over one store with lost replies and dropped and late commits.
 func TestOracleTableBookIsLinearizable(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(2, 8).Draw(rt, "steps")
@@ -95,7 +97,7 @@
 			steps[i] = linStep{
 				at:   time.Duration(rapid.IntRange(0, 400).Draw(rt, "at")) * time.Millisecond,
 				book: rapid.IntRange(0, 2).Draw(rt, "book"), finish: rapid.Bool().Draw(rt, "finish"),
-				keep: rapid.Bool().Draw(rt, "keep"), fault: rapid.Bool().Draw(rt, "fault"),
+				withOutcome: rapid.Bool().Draw(rt, "keep"), fault: rapid.Bool().Draw(rt, "fault"),
 				faults: store.Faults{
 					Down:        rapid.Bool().Draw(rt, "down"),
 					LoseReplies: rapid.IntRange(0, 2).Draw(rt, "lose"),
@@ -114,10 +116,10 @@
 }
 
 func runBooks(steps []linStep) []porcupine.Operation {
-	twin := store.NewMemory()
+	tables := store.NewMemory()
 	books := make([]*TableBook, 3)
 	for i := range books {
-		books[i] = NewTableBook(twin, 5*time.Millisecond, quiet)
+		books[i] = NewTableBook(tables, 5*time.Millisecond, discardLog)
 	}
 	h := &history{}
 	var wg sync.WaitGroup
@@ -125,8 +127,8 @@
 		wg.Go(func() {
 			time.Sleep(s.at)
 			if s.fault {
-				twin.SetFaults(s.faults)
-				time.AfterFunc(200*time.Millisecond, func() { twin.SetFaults(store.Faults{}) })
+				tables.SetFaults(s.faults)
+				time.AfterFunc(200*time.Millisecond, func() { tables.SetFaults(store.Faults{}) })
 			}
 			h.attempt(books[s.book], i, s)
 		})
@@ -153,14 +155,14 @@
 	}
 	h.add(client, linOp{attempt: c.Attempt}, out, start)
 	if err == nil && !g.Granted {
-		// A commit of this claim that was taken for lost may still arrive late.
-		// The attempt does not run, so that this costs a repeat its answer but
-		// never runs anything twice.
+		// A commit of this claim that was considered lost may still be applied
+		// late. The attempt does not run, so a repeat may get no result, but
+		// nothing runs twice.
 		h.add(client, linOp{attempt: c.Attempt}, linResult{unknown: true}, start)
 	}
 	if err != nil {
-		// The book releases a claim whose caller left; that may happen any time
-		// later.
+		// The TableBook releases a claim whose caller stopped waiting, at any
+		// later time.
 		h.add(client, linOp{attempt: c.Attempt, finish: true, release: true}, linResult{unknown: true}, time.Now())
 		return
 	}
@@ -168,12 +170,12 @@
 		return
 	}
 	outcome := &Outcome{Status: 200}
-	if !s.keep {
+	if !s.withOutcome {
 		outcome = nil
 	}
 	start = time.Now()
 	err = b.Finish(ctx, c, outcome)
-	h.add(client, linOp{attempt: c.Attempt, finish: true, release: !s.keep}, linResult{unknown: err != nil}, start)
+	h.add(client, linOp{attempt: c.Attempt, finish: true, release: !s.withOutcome}, linResult{unknown: err != nil}, start)
 }
 
 // add records a call. One with an unknown outcome may take effect at any later
@@ -209,11 +211,11 @@
 		c.Assert(err, qt.IsNil)
 		c.Assert(g.Granted, qt.IsFalse)
 		c.Assert(g.Existing.Attempt, qt.Equals, "1")
-		// The lost answer of a grant is asked for again.
+		// The same attempt claims again, as after a lost response.
 		g, err = b.Claim(t.Context(), first)
 		c.Assert(err, qt.IsNil)
 		c.Assert(g.Granted, qt.IsTrue)
-		// Long after its record was dropped the ticket is still not granted.
+		// The ticket is still not granted after its record was removed.
 		time.Sleep(time.Hour)
 		b.removeExpired(time.Now())
 		c.Assert(b.records, qt.HasLen, 0)
@@ -245,18 +247,19 @@
 	})
 }
 
-// A commit of a claim whose reply was lost, applied after the key was released,
-// found that there was no row and held the key for an attempt that had ended.
-// Found by TestOracleTableBookIsLinearizable with seed 26937.
+// TestLateCommitDoesNotHoldAReleasedKey guards against a claim commit that the
+// store applies after the key was released: if the release deleted the row, the
+// condition that no row exists would hold and the key would belong to an attempt
+// that has ended.
 func TestLateCommitDoesNotHoldAReleasedKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		twin := store.NewMemory()
-		b := NewTableBook(twin, 5*time.Millisecond, quiet)
+		tables := store.NewMemory()
+		b := NewTableBook(tables, 5*time.Millisecond, discardLog)
 		claim := func(attempt string) Claim {
 			return Claim{Key: Key{"a", "k"}, Attempt: attempt, Until: time.Now().Add(10 * time.Second)}
 		}
-		twin.SetFaults(store.Faults{LateCommits: 1, LateBy: time.Second})
+		tables.SetFaults(store.Faults{LateCommits: 1, LateBy: time.Second})
 		first := claim("first")
 		g, err := b.Claim(t.Context(), first)
 		c.Assert(err, qt.IsNil)
@@ -269,26 +272,26 @@
 		g, err = b.Claim(t.Context(), claim("second"))
 		c.Assert(err, qt.IsNil)
 		c.Assert(g.Granted, qt.IsTrue)
-		// The book's own goroutine ends.
+		// Wait for the committing goroutine to end.
 		time.Sleep(time.Second)
 	})
 }
 
-// A claim whose caller left while the service was away was released again and again,
-// also after its node had ended. Found by TestOracleOutcomes of package node with seed
-// 53343: the goroutine that stays fails the bubble.
+// TestClosedBookStopsReleasingAnAbandonedClaim guards against a release of an
+// abandoned claim that is retried after Close, while the service is unavailable.
+// The goroutine left behind makes synctest.Test fail.
 func TestClosedBookStopsReleasingAnAbandonedClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		twin := store.NewMemory()
-		b := NewTableBook(twin, 5*time.Millisecond, quiet)
-		twin.SetFaults(store.Faults{Delay: time.Second})
-		ctx, leave := context.WithTimeout(t.Context(), 500*time.Millisecond)
-		defer leave()
+		tables := store.NewMemory()
+		b := NewTableBook(tables, 5*time.Millisecond, discardLog)
+		tables.SetFaults(store.Faults{Delay: time.Second})
+		ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
+		defer cancel()
 		_, err := b.Claim(ctx, Claim{Key: Key{"a", "k"}, Attempt: "first", Until: time.Now().Add(10 * time.Second)})
 		c.Assert(err, qt.IsNotNil)
-		// The commit in progress still creates the row; its release finds the service away.
-		twin.SetFaults(store.Faults{Down: true})
+		// The commit in progress still creates the row; its release fails because the service is down.
+		tables.SetFaults(store.Faults{Down: true})
 		time.Sleep(2 * finishTimeout)
 		b.Close()
 	})
--- a/internal/ledger/router.go
+++ b/internal/ledger/router.go
@@ -8,71 +8,73 @@
 	"topazmoor/internal/verdict"
 )
 
-// Remote reaches the books of other nodes.
+// Remote gives access to the claim registries of other nodes.
 type Remote interface {
-	// Book returns the book of a node, or nil when the node is not known.
+	// Book returns the registry of a node, or nil if the node is not known.
 	Book(node string) Book
-	// BookAt returns the book of the node at a peer address, or nil without
-	// peers.
+	// BookAt returns the registry of the node at a peer address, or nil if this
+	// node has no peers.
 	BookAt(addr string) Book
 	// Committer returns the node that commits claims of this row key, or ""
 	// for this node.
 	Committer(rowKey string) string
 }
 
-// Router sends each key to the book that keeps it. It implements Book.
+// Router forwards each call to the registry responsible for the key: the
+// process that issued it for a ticket, otherwise the table service. It
+// implements Book.
 type Router struct {
 	node    string
 	tickets *Tickets
-	own     *TicketBook
+	issued  *TicketBook
 	table   *TableBook
 	remote  Remote
 }
 
 // NewRouter returns the router of a node.
-func NewRouter(node string, t *Tickets, own *TicketBook, table *TableBook, remote Remote) *Router {
-	return &Router{node: node, tickets: t, own: own, table: table, remote: remote}
+func NewRouter(node string, t *Tickets, issued *TicketBook, table *TableBook, remote Remote) *Router {
+	return &Router{node: node, tickets: t, issued: issued, table: table, remote: remote}
 }
 
 // Issue returns a new ticket of this node.
 func (r *Router) Issue(account string) string { return r.tickets.Issue(account, time.Now()) }
 
-// Local returns the books of this node for calls from other nodes: a call is
-// never sent on twice.
-func (r *Router) Local() Book { return localBooks{r} }
+// Local returns the registries of this node for calls from other nodes. It
+// forwards nothing, so a call crosses nodes at most once.
+func (r *Router) Local() Book { return localRegistry{r} }
 
-type localBooks struct{ r *Router }
+type localRegistry struct{ r *Router }
 
-func (l localBooks) book(k Key) Book {
+func (l localRegistry) forKey(k Key) Book {
 	if IsTicket(k.Key) {
-		return l.r.own
+		return l.r.issued
 	}
 	return l.r.table
 }
 
 // Claim implements Book.
-func (l localBooks) Claim(ctx context.Context, c Claim) (Grant, error) {
-	return l.book(c.Key).Claim(ctx, c)
+func (l localRegistry) Claim(ctx context.Context, c Claim) (Grant, error) {
+	return l.forKey(c.Key).Claim(ctx, c)
 }
 
 // Finish implements Book.
-func (l localBooks) Finish(ctx context.Context, c Claim, out *Outcome) error {
-	return l.book(c.Key).Finish(ctx, c, out)
+func (l localRegistry) Finish(ctx context.Context, c Claim, out *Outcome) error {
+	return l.forKey(c.Key).Finish(ctx, c, out)
 }
 
 // Lookup implements Book.
-func (l localBooks) Lookup(ctx context.Context, k Key) (Record, bool, error) {
-	return l.book(k).Lookup(ctx, k)
+func (l localRegistry) Lookup(ctx context.Context, k Key) (Record, bool, error) {
+	return l.forKey(k).Lookup(ctx, k)
 }
 
-// issuer returns the book of the process that issued a ticket.
+// issuer returns the registry of the process that issued a ticket.
 func (r *Router) issuer(k Key) (Book, error) {
 	t, err := r.tickets.Parse(k.Account, k.Key)
 	if err != nil {
 		return nil, err
 	}
 	if t.Addr == r.tickets.addr {
-		return r.own, nil
+		return r.issued, nil
 	}
 	b := r.remote.BookAt(t.Addr)
 	if b == nil {
@@ -81,8 +83,9 @@
 	return b, nil
 }
 
-// Claim implements Book. A claim that a remote committer does not answer is
-// committed by this node: the row decides, not the committer.
+// Claim implements Book. If the remote committer fails without a refusal, this
+// node commits the claim itself. That is safe: the condition on the row grants
+// a key once, whichever nodes commit.
 func (r *Router) Claim(ctx context.Context, c Claim) (Grant, error) {
 	if IsTicket(c.Key.Key) {
 		b, err := r.issuer(c.Key)
@@ -90,29 +93,29 @@
 			return Grant{}, err
 		}
 		g, err := b.Claim(ctx, c)
-		return g, r.settle(b, c, err)
+		return g, r.releaseLostGrant(b, c, err)
 	}
 	if b := r.committer(c); b != nil {
 		g, err := b.Claim(ctx, c)
-		if err == nil || refusedByBook(err) {
+		if err == nil || isRefusal(err) {
 			return g, err
 		}
 	}
 	return r.table.Claim(ctx, c)
 }
 
-// refusedByBook reports whether the book itself refused; otherwise its answer
-// may have been lost on the way.
-func refusedByBook(err error) bool {
+// isRefusal reports whether the registry refused the call; otherwise its
+// response may have been lost in transit.
+func isRefusal(err error) bool {
 	var e *verdict.Error
 	return errors.As(err, &e) && e.Code != verdict.Internal
 }
 
-// settle releases a ticket whose grant may have been lost on the way, so that
-// a repeat is not told that it may have run. The attempt will not run: the
-// error says so.
-func (r *Router) settle(b Book, c Claim, err error) error {
-	if err == nil || refusedByBook(err) {
+// releaseLostGrant releases, in the background, a ticket whose grant may have
+// been lost in transit, so that a repeat with the ticket can be granted. The
+// attempt does not run, since Claim returns an error.
+func (r *Router) releaseLostGrant(b Book, c Claim, err error) error {
+	if err == nil || isRefusal(err) {
 		return err
 	}
 	go func() {
@@ -141,7 +144,7 @@
 	return r.table.Finish(ctx, c, out)
 }
 
-// committer returns the remote book that commits c, or nil for this node.
+// committer returns the remote registry that commits c, or nil for this node.
 func (r *Router) committer(c Claim) Book {
 	node := r.remote.Committer(c.rowKey())
 	if node == "" || node == r.node {
@@ -160,7 +163,7 @@
 		return Record{}, false, err
 	}
 	rec, found, err := b.Lookup(ctx, k)
-	if err != nil && !refusedByBook(err) {
+	if err != nil && !isRefusal(err) {
 		err = errIssuerGone()
 	}
 	return rec, found, err
--- a/internal/ledger/table.go
+++ b/internal/ledger/table.go
@@ -37,68 +37,73 @@
 func hexDigit(i int) string { return "0123456789abcdef"[i : i+1] }
 
 const (
-	// groupLimit is the most operations of one commit.
+	// groupLimit is the maximum number of operations in one commit.
 	groupLimit = 256
-	// queueLimit is the most operations that wait for a commit.
+	// queueLimit is the maximum number of operations that wait for a commit.
 	queueLimit = 8192
-	// settlePause is the pause between tries to settle a lost reply or to
-	// record an outcome while the service is down.
-	settlePause = 200 * time.Millisecond
-	// finishTimeout bounds one try to record an outcome.
+	// retryPause is the pause between attempts to resolve a lost reply, and
+	// between attempts to record an outcome.
+	retryPause = 200 * time.Millisecond
+	// finishTimeout bounds one commit of an outcome.
 	finishTimeout = time.Minute
-	// downPause is how long claims are refused at once after the service was
-	// found down; the first claim after it tries again.
-	downPause = time.Second
+	// unavailablePause is how long claims are refused at once after a commit failed
+	// because the service was unavailable; later claims are sent again.
+	unavailablePause = time.Second
 )
 
 // TableBook keeps claims in the table service. The claim of a key is the
-// creation of its row, which the service lets happen once; no owner or lease
-// is involved. All operations that wait share one commit, and there is one
-// commit at a time, so the writes a second do not grow with the requests.
+// creation of its row, which the service allows once; no owner or lease is
+// involved. Waiting operations share a commit of up to groupLimit operations,
+// and commits run one at a time, so their number per second is bounded by the
+// interval and not by the request rate.
 type TableBook struct {
 	tables   store.Tables
 	interval time.Duration
 	log      *slog.Logger
-	// life ends with Close.
-	life context.Context
-	end  context.CancelFunc
+	// releaseCtx is the context of releases of abandoned claims; Close cancels it.
+	releaseCtx     context.Context
+	cancelReleases context.CancelFunc
 
 	mu      sync.Mutex
 	queue   []*op
 	running bool
-	last    time.Time
-	down    time.Time
-	stats   TableStats
-	// versions holds the row versions of claims granted here, so that their
-	// outcomes need no read first.
+	// lastCommit is when the last group left the queue.
+	lastCommit time.Time
+	// refuseUntil is when claims are sent again after the service was unavailable.
+	refuseUntil time.Time
+	stats       TableStats
+	// versions holds, by row key, the row versions of claims that this TableBook
+	// granted, so that recording their outcomes needs no prior read.
 	versions map[string]rowVersion
 }
 
-// rowVersion is the version that an attempt's claim gave its row.
+// rowVersion is the row version that the commit of an attempt's claim created.
 type rowVersion struct {
 	attempt string
 	version store.Version
 }
 
-// versionsLimit bounds the versions held.
+// versionsLimit is the maximum number of entries in TableBook.versions.
 const versionsLimit = 50_000
 
-// TableStats counts the work of a TableBook.
+// TableStats holds the counters of a TableBook.
 type TableStats struct {
 	// Commits is the number of transactions sent and Ops the operations in
-	// them; Dropped counts outcomes that could not be recorded.
+	// them; Dropped counts operations rejected because the queue was full.
 	Commits, Ops, Dropped int64
 }
 
-// NewTableBook returns a TableBook that starts at most one commit an interval.
+// NewTableBook returns a TableBook that takes at most one group from its queue
+// per interval.
 func NewTableBook(t store.Tables, interval time.Duration, log *slog.Logger) *TableBook {
-	life, end := context.WithCancel(context.Background())
-	return &TableBook{tables: t, interval: interval, log: log, life: life, end: end, versions: make(map[string]rowVersion)}
+	releaseCtx, cancelReleases := context.WithCancel(context.Background())
+	return &TableBook{tables: t, interval: interval, log: log, releaseCtx: releaseCtx, cancelReleases: cancelReleases, versions: make(map[string]rowVersion)}
 }
 
-// Close ends the releases of abandoned claims that the service does not take: they are
-// tried again for as long as the process lives, also through a long outage.
-func (b *TableBook) Close() { b.end() }
+// Close stops retrying the release of abandoned claims. Without Close a release
+// that the service rejects is retried for the life of the process, also through a
+// long outage.
+func (b *TableBook) Close() { b.cancelReleases() }
 
 // Stats returns the counts so far.
 func (b *TableBook) Stats() TableStats {
@@ -107,7 +112,7 @@
 	return b.stats
 }
 
-var errStoreDown = verdict.New(verdict.NotRun, verdict.StoreUnavailable,
+var errStoreUnavailable = verdict.New(verdict.NotRun, verdict.StoreUnavailable,
 	"the key cannot be claimed because the table service does not answer; a request ticket works without it").
 	After(2 * time.Second)
 
@@ -128,25 +133,26 @@
 	case r := <-o.done:
 		return r.grant, r.err
 	case <-ctx.Done():
-		b.abandon(o)
-		return Grant{}, errStoreDown
+		b.releaseAbandoned(o)
+		return Grant{}, errStoreUnavailable
 	}
 }
 
-// abandon releases a claim whose caller left before it was settled.
-func (b *TableBook) abandon(o *op) {
+// releaseAbandoned releases, in the background, a claim whose caller
+// stopped waiting before the result.
+func (b *TableBook) releaseAbandoned(o *op) {
 	go func() {
 		r := <-o.done
 		if r.err == nil && r.grant.Granted {
-			if err := b.Finish(b.life, o.claim, nil); err != nil {
+			if err := b.Finish(b.releaseCtx, o.claim, nil); err != nil {
 				b.log.Warn("abandoned claim not released: its key stays held", "account", o.claim.Key.Account, "err", err)
 			}
 		}
 	}()
 }
 
-// Finish implements Book. It returns when the outcome is recorded or cannot
-// be: outcomes are retried through an outage until ctx ends.
+// Finish implements Book. It retries until the outcome is recorded, the attempt
+// no longer holds the key, or ctx ends.
 func (b *TableBook) Finish(ctx context.Context, c Claim, out *Outcome) error {
 	for {
 		err := b.tryFinish(ctx, c, out)
@@ -156,7 +162,7 @@
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(settlePause):
+		case <-time.After(retryPause):
 		}
 	}
 }
@@ -205,12 +211,13 @@
 	return row.Version, rec.heldBy(c.Attempt), nil
 }
 
-// remember notes the versions of claims that a commit granted.
-func (b *TableBook) remember(group []*op, version store.Version) {
+// storeVersions stores the row versions of claims that a commit granted.
+func (b *TableBook) storeVersions(group []*op, version store.Version) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.versions) >= versionsLimit {
-		// Claims that were never finished; outcomes read the row instead.
+		// Entries of claims that were never finished fill the map. Without an
+		// entry, Finish reads the version from the row.
 		clear(b.versions)
 	}
 	for _, o := range group {
@@ -227,7 +234,7 @@
 		return Record{}, false, nil
 	}
 	if err != nil {
-		return Record{}, false, errStoreDown
+		return Record{}, false, errStoreUnavailable
 	}
 	rec, err := decodeRecord(row)
 	if rec.Released {
--- a/internal/ledger/ticket.go
+++ b/internal/ledger/ticket.go
@@ -16,14 +16,14 @@
 // ticketPrefix marks idempotency keys that are tickets.
 const ticketPrefix = "tk1."
 
-// ticketBookLimit is the most redeemed tickets that a book holds.
-const ticketBookLimit = 200_000
+// ticketRecordLimit is the maximum number of records in a TicketBook.
+const ticketRecordLimit = 200_000
 
 // Ticket is a decoded request ticket: an idempotency key that only the process
 // that issued it can grant.
 type Ticket struct {
-	// Node and Incarnation name the process that issued it; Addr is its peer
-	// address, so that no view of the nodes is needed to reach it.
+	// Node and Incarnation identify the process that issued the ticket; Addr is
+	// its peer address, so that it is reachable without a membership lookup.
 	Node, Incarnation, Addr string
 	Nonce                   string
 	Expires                 time.Time
@@ -32,8 +32,8 @@
 // IsTicket reports whether an idempotency key is a ticket.
 func IsTicket(key string) bool { return strings.HasPrefix(key, ticketPrefix) }
 
-// Tickets makes and checks tickets. Every node can check, because the secret
-// is shared; only the issuing process can grant.
+// Tickets issues and verifies tickets. Every node can verify them because the
+// secret is shared; only the issuing process can grant them.
 type Tickets struct {
 	secret      []byte
 	node        string
@@ -43,7 +43,7 @@
 	nonce       func() string
 }
 
-// NewTickets returns the tickets of one process. addr is its peer address, the
+// NewTickets returns the issuer of one process. addr is its peer address, the
 // incarnation must be unique to the process, and nonce must not repeat.
 func NewTickets(secret []byte, node, addr, incarnation string, life time.Duration, nonce func() string) *Tickets {
 	return &Tickets{secret: secret, node: node, addr: addr, incarnation: incarnation, life: life, nonce: nonce}
@@ -88,15 +88,15 @@
 	return Ticket{Node: node, Addr: addr, Incarnation: parts[2], Nonce: parts[3], Expires: time.Unix(expires, 0)}, nil
 }
 
-// TicketBook keeps the claims of the tickets that this process issued, in
-// memory. It needs neither the table service nor other nodes: no other process
-// can grant these tickets, whatever is paused, cut off or dead.
+// TicketBook stores in memory the claims of the tickets that this process
+// issued. It needs neither the table service nor other nodes: no other process
+// can grant these tickets, whichever processes are paused, disconnected or dead.
 type TicketBook struct {
 	tickets *Tickets
 
-	mu      sync.Mutex
-	records map[Key]*ticketRecord
-	sweep   time.Time
+	mu        sync.Mutex
+	records   map[Key]*ticketRecord
+	nextSweep time.Time
 }
 
 type ticketRecord struct {
@@ -112,15 +112,16 @@
 	return &TicketBook{tickets: t, records: make(map[Key]*ticketRecord)}
 }
 
-// errIssuerGone answers for tickets of a process that is not reachable: it may
-// have granted the ticket before.
+// errIssuerGone is returned for tickets whose issuing process has ended or is
+// not reachable. The verdict is MayHaveRun because that process may have
+// granted the ticket.
 func errIssuerGone() error {
 	return verdict.New(verdict.MayHaveRun, verdict.KeyOutcomeUnknown,
 		"the node that issued the ticket is gone; if you have not sent the ticket before, get a new one")
 }
 
-// own checks that this process issued the ticket.
-func (b *TicketBook) own(k Key) (Ticket, error) {
+// parseOwn returns the decoded ticket if this process issued it.
+func (b *TicketBook) parseOwn(k Key) (Ticket, error) {
 	t, err := b.tickets.Parse(k.Account, k.Key)
 	if err != nil {
 		return Ticket{}, err
@@ -133,7 +134,7 @@
 
 // Claim implements Book.
 func (b *TicketBook) Claim(_ context.Context, c Claim) (Grant, error) {
-	t, err := b.own(c.Key)
+	t, err := b.parseOwn(c.Key)
 	if err != nil {
 		return Grant{}, err
 	}
@@ -148,13 +149,13 @@
 		return Grant{}, verdict.New(verdict.MayHaveRun, verdict.KeyOutcomeUnknown,
 			"the ticket expired; if you have not sent it before, get a new one")
 	}
-	if len(b.records) >= ticketBookLimit {
+	if len(b.records) >= ticketRecordLimit {
 		return Grant{}, verdict.New(verdict.NotRun, verdict.Overloaded, "too many tickets are in use").After(sweepInterval)
 	}
-	// Records outlive their tickets, so that a clock that is set back does not
-	// make a used ticket look new.
-	keep := laterOf(t.Expires, c.Until).Add(b.tickets.life)
-	b.records[c.Key] = &ticketRecord{Record: Record{Claim: c}, expires: keep}
+	// Records outlive their tickets by the lifetime of a ticket, so that a
+	// redeemed ticket is not granted again if the clock is set back.
+	removeAt := laterOf(t.Expires, c.Until).Add(b.tickets.life)
+	b.records[c.Key] = &ticketRecord{Record: Record{Claim: c}, expires: removeAt}
 	return Grant{Granted: true}, nil
 }
 
@@ -183,7 +184,7 @@
 
 // Lookup implements Book.
 func (b *TicketBook) Lookup(_ context.Context, k Key) (Record, bool, error) {
-	if _, err := b.own(k); err != nil {
+	if _, err := b.parseOwn(k); err != nil {
 		return Record{}, false, err
 	}
 	b.mu.Lock()
@@ -195,12 +196,12 @@
 	return rec.Record, true, nil
 }
 
-// removeExpired drops records of tickets that cannot be redeemed any more.
+// removeExpired drops records past their expiry, at most once a sweepInterval.
 func (b *TicketBook) removeExpired(now time.Time) {
-	if now.Before(b.sweep) {
+	if now.Before(b.nextSweep) {
 		return
 	}
-	b.sweep = now.Add(sweepInterval)
+	b.nextSweep = now.Add(sweepInterval)
 	for k, rec := range b.records {
 		if now.After(rec.expires) {
 			delete(b.records, k)
