--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -19,11 +19,11 @@
 	"topazmoor/internal/store"
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// counter is a task whose every step adds one row under a number that must not
-// be used twice: it reads the last number and writes the next, without a
-// condition of its own, so that only the fence keeps owners apart.
+// counter is a task whose every step adds one row under the next unused number:
+// it reads the rows and writes the next, without a condition of its own, so that
+// only the shard's fencing prevents two owners from writing the same number.
 type counter struct {
 	tables store.Tables
 	node   string
@@ -34,19 +34,19 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	// The owner is paused here, between the read and the commit, by the test.
+	// TestOracleShardFence may freeze the owner between this read and the commit.
 	w := store.Write{Table: "count", Key: fmt.Sprintf("%06d", len(rows)), Value: []byte(c.node)}
 	return nil, []store.Write{w}, nil
 }
 
-// tracked notes every write of a counter row, so that an overwritten one shows.
-type tracked struct {
+// countingTables counts the writes of each counter row, to detect rows written twice.
+type countingTables struct {
 	*standin.Gate
 	mu     *sync.Mutex
 	writes map[string]int
 }
 
-func (t tracked) Commit(ctx context.Context, tx store.Tx) (store.Version, error) {
+func (t countingTables) Commit(ctx context.Context, tx store.Tx) (store.Version, error) {
 	v, err := t.Gate.Commit(ctx, tx)
 	if err == nil {
 		t.mu.Lock()
@@ -60,8 +60,8 @@
 	return v, err
 }
 
-// TestOracleShardFence pauses and cuts owners at random; no effect of a replaced
-// owner may be committed.
+// TestOracleShardFence freezes and disconnects nodes at random; no effect of a
+// replaced owner may be committed.
 func TestOracleShardFence(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(0, 6).Draw(rt, "faults")
@@ -80,20 +80,20 @@
 		}
 		var twice, steps int
 		synctest.Test(t, func(*testing.T) {
-			twin := store.NewMemory()
+			memory := store.NewMemory()
 			writes := make(map[string]int)
 			var mu sync.Mutex
 			ctx, cancel := context.WithCancel(context.Background())
 			var wg sync.WaitGroup
 			var gates []*standin.Gate
 			for i := range 3 {
-				g := standin.NewGate(twin)
+				g := standin.NewGate(memory)
 				gates = append(gates, g)
-				tables := tracked{Gate: g, mu: &mu, writes: writes}
+				tables := countingTables{Gate: g, mu: &mu, writes: writes}
 				name := fmt.Sprint("n", i)
 				id := 0
 				s := &control.Shard{
-					Name: "s", Node: name, Task: &counter{tables: tables, node: name}, Tables: tables, Log: quiet,
+					Name: "s", Node: name, Task: &counter{tables: tables, node: name}, Tables: tables, Log: discardLog,
 					Mine: func(string) bool { return true }, NewID: func() string { id++; return fmt.Sprint(name, "-", id) },
 				}
 				wg.Go(func() { _ = s.Serve(ctx) })
@@ -131,28 +131,28 @@
 func TestSweepDeletesOnlyOldRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		twin := store.NewMemory()
+		memory := store.NewMemory()
 		for i := range 600 {
 			age := "new"
 			if i%2 == 0 {
 				age = "old"
 			}
-			_, err := twin.Commit(t.Context(), store.Tx{Writes: []store.Write{{Table: "t", Key: fmt.Sprintf("a%04d", i), Value: []byte(age)}}})
+			_, err := memory.Commit(t.Context(), store.Tx{Writes: []store.Write{{Table: "t", Key: fmt.Sprintf("a%04d", i), Value: []byte(age)}}})
 			c.Assert(err, qt.IsNil)
 		}
-		sweep := &control.Sweep{Tables: twin, Table: "t", Prefixes: []string{"a"}, Old: func(r store.Row, _ time.Time) bool { return string(r.Value) == "old" }}
+		sweep := &control.Sweep{Tables: memory, Table: "t", Prefixes: []string{"a"}, Old: func(r store.Row, _ time.Time) bool { return string(r.Value) == "old" }}
 		id := 0
-		s := &control.Shard{Name: "s", Node: "n", Task: sweep, Tables: twin, Log: quiet, Mine: func(string) bool { return true }, NewID: func() string { id++; return fmt.Sprint(id) }}
+		s := &control.Shard{Name: "s", Node: "n", Task: sweep, Tables: memory, Log: discardLog, Mine: func(string) bool { return true }, NewID: func() string { id++; return fmt.Sprint(id) }}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() { done <- s.Serve(ctx) }()
 		time.Sleep(time.Minute)
 		cancel()
 		<-done
-		rows, err := twin.Scan(t.Context(), "t", "", "", 1000)
+		rows, err := memory.Scan(t.Context(), "t", "", "", 1000)
 		c.Assert(err, qt.IsNil)
 		c.Assert(rows, qt.HasLen, 300)
-		events, err := control.Events(t.Context(), twin, time.Time{}, 10)
+		events, err := control.Events(t.Context(), memory, time.Time{}, 10)
 		c.Assert(err, qt.IsNil)
 		c.Assert(events, qt.HasLen, 1)
 		c.Assert(events[0].Kind, qt.Equals, control.TakeOver)
--- a/internal/control/event.go
+++ b/internal/control/event.go
@@ -11,42 +11,42 @@
 	"topazmoor/internal/store"
 )
 
-// eventTable holds what happened beside changes of the configuration.
+// eventTable is the table of events.
 const eventTable = "event"
 
-// Event is a record of the audit trail that is not a change of the
+// Event is a record of the audit trail other than a change of the
 // configuration.
 type Event struct {
 	At   time.Time `json:"at"`
 	Node string    `json:"node"`
 	// Kind is one of the kinds below.
 	Kind EventKind `json:"kind"`
-	// Object is what it concerns, such as "shard/claims-3".
+	// Object is the object concerned, such as "shard/claims-3".
 	Object string `json:"object"`
 	Detail string `json:"detail,omitempty"`
 }
 
-// EventKind says what happened.
+// EventKind is the kind of an event.
 type EventKind string
 
 // The kinds of events.
 const (
 	// TakeOver: a node became the owner of a control shard.
 	TakeOver EventKind = "take-over"
-	// Ordered: an engine was given an order.
+	// Ordered: an order was issued for an engine.
 	Ordered EventKind = "order"
-	// Refused: operators were refused at a node.
+	// Refused: a node refused requests of operators.
 	Refused EventKind = "refused"
 )
 
-// eventsKept is how long events are kept.
-const eventsKept = 90 * 24 * time.Hour
+// eventRetention is how long events are stored before they are deleted.
+const eventRetention = 90 * 24 * time.Hour
 
-// SweepEvents returns the task that deletes old events.
+// SweepEvents returns the task that deletes events older than eventRetention.
 func SweepEvents(t store.Tables) *Sweep {
 	return &Sweep{Tables: t, Table: eventTable, Prefixes: []string{""}, Old: func(r store.Row, now time.Time) bool {
 		var e Event
-		return json.Unmarshal(r.Value, &e) == nil && now.Sub(e.At) > eventsKept
+		return json.Unmarshal(r.Value, &e) == nil && now.Sub(e.At) > eventRetention
 	}}
 }
 
@@ -60,7 +60,7 @@
 	return store.Write{Table: eventTable, Key: fmt.Sprintf("%020d-%s", e.At.UnixNano(), id), Value: value}, nil
 }
 
-// Record stores an event by itself.
+// Record stores an event in a transaction of its own.
 func Record(ctx context.Context, t store.Tables, id string, e Event) error {
 	w, err := e.Write(id)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return err
 }
 
-// Events returns up to limit events after a time, in order.
+// Events returns up to limit events after a time, oldest first.
 func Events(ctx context.Context, t store.Tables, after time.Time, limit int) ([]Event, error) {
 	from := ""
 	if !after.IsZero() {
--- a/internal/control/shard.go
+++ b/internal/control/shard.go
@@ -1,9 +1,9 @@
-// Package control runs background work of which there must be one worker at a
-// time over all nodes, such as sweeping old rows. A piece of such work is a
-// shard with a row in the table service. The row's version is the fence: every
-// durable effect of an owner is committed together with the row, so that the
-// commit of an owner that was replaced without noticing fails. Time decides
-// only when a node tries to take over, never what is allowed. Source:
+// Package control runs background work that must run on one node at a time,
+// such as deleting old rows. Each piece of work is a shard with a row
+// in the table service. The row's version is the fencing token: every durable
+// effect of an owner is committed together with the row, so that the commit of
+// an owner that was replaced without noticing fails. Clocks only decide when a
+// node tries to take over; safety does not depend on them. Source:
 // docs/design/010-control-shards.md.
 package control
 
@@ -23,46 +23,51 @@
 const (
 	shardTable = "shard"
 	// LeaseTime is how long the row of a shard may stay unchanged before another
-	// node takes it over; measured by the taker's own clock.
+	// node may take it over, by the clock of that node.
 	LeaseTime = 30 * time.Second
-	// stepInterval is the time between two steps of an owner, and between two
-	// looks of the node that is the first choice.
+	// stepInterval is the mean time between two steps of an owner, and between
+	// two reads of the row by the preferred node.
 	stepInterval = 5 * time.Second
-	// lookInterval is the time between two looks of any other node: with many
-	// nodes their reads would add up.
-	lookInterval = time.Minute
-	// settlePause is the pause between tries to settle a lost reply.
-	settlePause = 200 * time.Millisecond
+	// pollInterval is the mean time between two reads of the row by any other
+	// node, and how much longer than the preferred node the others wait before
+	// they take over. It is long because the reads add up over many nodes.
+	pollInterval = time.Minute
+	// retryPause is the pause between attempts to resolve a lost reply.
+	retryPause = 200 * time.Millisecond
 )
 
-// ErrLost: another node owns the shard now.
+// ErrLost is returned when the row of an owned shard was changed by another
+// node.
 var ErrLost = errors.New("control: shard lost")
 
 // row is the value of a shard's row.
 type row struct {
 	Owner string `json:"owner"`
-	// Epoch counts the owners.
+	// Epoch is incremented at each takeover.
 	Epoch int64 `json:"epoch"`
-	// Beat makes each write unique and shows that the owner lives.
+	// Beat is a unique ID per write: a heartbeat that shows that the owner is
+	// alive.
 	Beat string `json:"beat"`
 }
 
 // Task is the work of a shard.
 type Task interface {
-	// Step does a bounded piece of work. What it wants to make durable it
-	// returns as conditions and writes, which are committed under the fence.
+	// Step does a bounded piece of work. It returns its durable effects as
+	// conditions and writes, which are committed together with the shard's row.
 	Step(ctx context.Context) (conds []store.Condition, writes []store.Write, err error)
 }
 
-// Shard is one piece of control work at one node. It implements suture.Service.
+// Shard takes part, on one node, in the ownership of a piece of control work
+// and performs the work while the node is the owner. It implements
+// suture.Service.
 type Shard struct {
 	// Name is the key of the shard's row.
 	Name string
 	// Node is the name of this node.
 	Node string
 	Task Task
-	// Mine reports whether this node is the shard's first choice; others wait
-	// longer before they take it over.
+	// Mine reports whether this node is the preferred owner of the shard; other
+	// nodes wait longer before they take it over.
 	Mine   func(name string) bool
 	Tables store.Tables
 	NewID  func() string
@@ -70,9 +75,10 @@
 
 	cur     row
 	version store.Version
-	seen    store.Version
-	seenAt  time.Time
-	owned   bool
+	// lastSeen is the version last read and lastSeenAt when it was first read.
+	lastSeen   store.Version
+	lastSeenAt time.Time
+	owned      bool
 }
 
 // Epoch returns the epoch under which this node owns the shard. It is for the
@@ -82,28 +88,28 @@
 // Serve implements suture.Service.
 func (s *Shard) Serve(ctx context.Context) error {
 	for {
-		s.round(ctx)
-		every := lookInterval
+		s.runOnce(ctx)
+		every := pollInterval
 		if s.owned || s.Mine(s.Name) {
 			every = stepInterval
 		}
 		select {
 		case <-ctx.Done():
-			s.handOver()
+			s.release()
 			return ctx.Err()
 		case <-time.After(every/2 + rand.N(every)):
 		}
 	}
 }
 
-func (s *Shard) round(ctx context.Context) {
+func (s *Shard) runOnce(ctx context.Context) {
 	if !s.owned && !s.takeOver(ctx) {
 		return
 	}
 	if !s.Mine(s.Name) {
-		// Another node is the first choice: leave it the shard, so that the
-		// shards stay spread when nodes come and go.
-		s.handOver()
+		// Another node is the preferred owner: release the shard, so that the
+		// shards stay evenly distributed when nodes start and stop.
+		s.release()
 		return
 	}
 	conds, writes, err := s.Task.Step(ctx)
@@ -129,7 +135,7 @@
 		}
 	}
 	s.version = r.Version
-	if !s.free(time.Now()) {
+	if !s.isFree(time.Now()) {
 		return false
 	}
 	s.cur.Owner = s.Node
@@ -146,21 +152,22 @@
 	return true
 }
 
-// free reports whether the shard has no owner, or its row did not change for
-// the lease time.
-func (s *Shard) free(now time.Time) bool {
-	if s.seen != s.version || s.seenAt.IsZero() {
-		s.seen, s.seenAt = s.version, now
+// isFree reports whether this node may take the shard over: the shard has no
+// owner, or its row has not changed for the lease time. A node that is not
+// preferred waits pollInterval longer.
+func (s *Shard) isFree(now time.Time) bool {
+	if s.lastSeen != s.version || s.lastSeenAt.IsZero() {
+		s.lastSeen, s.lastSeenAt = s.version, now
 	}
-	idle := now.Sub(s.seenAt)
+	idle := now.Sub(s.lastSeenAt)
 	if s.cur.Owner != "" {
 		idle -= LeaseTime
 	}
-	return idle >= lookInterval || (idle >= 0 && s.Mine(s.Name))
+	return idle >= pollInterval || (idle >= 0 && s.Mine(s.Name))
 }
 
-// commit writes the row anew together with the effects, if the row is as this
-// node left it.
+// commit writes the row together with conds and writes, on the condition that
+// the row still has the version this node knows.
 func (s *Shard) commit(ctx context.Context, conds []store.Condition, writes []store.Write) error {
 	s.cur.Beat = s.NewID()
 	value, err := json.Marshal(s.cur)
@@ -171,7 +178,7 @@
 		Conditions: append([]store.Condition{{Table: shardTable, Key: s.Name, Version: s.version}}, conds...),
 		Writes:     append([]store.Write{{Table: shardTable, Key: s.Name, Value: value}}, writes...),
 	}
-	applied, err := store.CommitSettled(ctx, s.Tables, tx, settlePause)
+	applied, err := store.CommitSettled(ctx, s.Tables, tx, retryPause)
 	var conflict *store.ConflictError
 	switch {
 	case errors.As(err, &conflict) && (len(conflict.Failed) == 0 || conflict.Failed[0] == 0):
@@ -180,14 +187,15 @@
 	case err != nil || !applied:
 		return eris.Wrap(store.ErrUnknown, "control commit")
 	}
-	return s.refresh(ctx, value)
+	return s.readVersion(ctx, value)
 }
 
-// refresh learns the version of the row that was just written.
-func (s *Shard) refresh(ctx context.Context, value []byte) error {
+// readVersion reads the version of the row that commit wrote.
+func (s *Shard) readVersion(ctx context.Context, value []byte) error {
 	r, err := s.Tables.Get(ctx, shardTable, s.Name)
 	if err != nil {
-		// Without the version the next commit would fail; read it then.
+		// Without the version the next commit would fail. The node gives up
+		// ownership until takeOver has read the row again.
 		s.owned = false
 		return err
 	}
@@ -199,16 +207,16 @@
 	return nil
 }
 
-// handOverTimeout bounds the release of a shard.
-const handOverTimeout = 2 * time.Second
+// releaseTimeout bounds the release of a shard.
+const releaseTimeout = 2 * time.Second
 
-// handOver releases an owned shard, best effort: without it the next owner
-// waits for the lease.
-func (s *Shard) handOver() {
+// release gives up an owned shard, best effort. If it fails, the next owner
+// waits for the lease to expire.
+func (s *Shard) release() {
 	if !s.owned {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	s.cur.Owner = ""
 	if err := s.commit(ctx, nil, nil); err != nil {
--- a/internal/control/sweep.go
+++ b/internal/control/sweep.go
@@ -7,26 +7,29 @@
 	"topazmoor/internal/store"
 )
 
-// Sweep is a Task that deletes old rows of a table, page after page, then
-// starts again.
+// Sweep is a Task that deletes old rows of a table, one page per Step. After the
+// last page it starts again.
 type Sweep struct {
 	Tables store.Tables
 	Table  string
-	// Prefixes limit the sweep to keys that start with one of them.
+	// Prefixes limits the sweep to keys that start with one of them.
 	Prefixes []string
 	// Old reports whether a row is to be deleted.
 	Old func(r store.Row, now time.Time) bool
 
+	// prefix is the index in Prefixes of the next page; the page starts after the
+	// key last.
 	prefix int
 	last   string
 }
 
-// sweepPage is the number of rows of one step; it bounds the writes of its
-// commit.
+// sweepPage is the maximum number of rows that one step reads; it bounds the
+// writes of the step's commit.
 const sweepPage = 256
 
-// Step implements Task. Each row is deleted on its version: a row that changed
-// after it was read stays, and with it this page; the next pass decides anew.
+// Step implements Task. Each deletion is conditional on the row's version: if
+// one row of the page changed after it was read, no row of the page is deleted.
+// The next pass checks the page again.
 func (s *Sweep) Step(ctx context.Context) ([]store.Condition, []store.Write, error) {
 	rows, err := s.Tables.Scan(ctx, s.Table, s.Prefixes[s.prefix], s.last, sweepPage)
 	if err != nil {
