--- a/internal/batch/api.go
+++ b/internal/batch/api.go
@@ -13,7 +13,8 @@
 	"topazmoor/internal/verdict"
 )
 
-// retryAfter is when a refused submission has a fair chance.
+// retryAfter is the advised delay before a submission is retried after the
+// table service failed.
 const retryAfter = 5 * time.Second
 
 // PathBatches is the path of batches in the caller API.
@@ -26,7 +27,7 @@
 	Inputs []any `json:"inputs" need:"true"`
 }
 
-// Status describes a batch.
+// Status is the progress of a batch, as returned to callers.
 type Status struct {
 	ID       string `json:"id"`
 	Pipeline string `json:"pipeline"`
@@ -35,7 +36,7 @@
 	Done     bool   `json:"done"`
 }
 
-// Routes adds the batch calls to the caller API.
+// Routes registers the handlers of batches with the caller API.
 func Routes(front *frontdoor.Server, s *Store) {
 	front.Handle("POST "+PathBatches, func(w http.ResponseWriter, r *http.Request, acct *catalog.CompiledAccount) {
 		b, err := submit(front, s, w, r, acct)
@@ -83,8 +84,8 @@
 	return s.Submit(r.Context(), acct.Name, req.Pipeline, r.Header.Get(frontdoor.HeaderKey), inputs)
 }
 
-// respond sends a value, or the refusal. A batch that was not acknowledged may
-// still be stored when the table service's answer was lost.
+// respond sends v, or err mapped to a refusal. After store.ErrUnknown the batch
+// may be stored although the submission is not acknowledged.
 func respond(front *frontdoor.Server, w http.ResponseWriter, status int, v any, err error) {
 	switch {
 	case errors.Is(err, store.ErrNotFound):
--- a/internal/batch/runner.go
+++ b/internal/batch/runner.go
@@ -16,33 +16,38 @@
 )
 
 const (
-	// scanInterval is the time between two looks for batches without an owner.
+	// scanInterval is the mean time between two scans for unfinished batches.
 	scanInterval = 3 * time.Second
-	// leaseTime is how long a row may stay unchanged before another node takes
-	// the batch over. It is measured by the taker's own clock.
+	// leaseTime is how long the row of a batch may stay unchanged before another
+	// node may take the batch over, by the clock of that node.
 	leaseTime = 15 * time.Second
-	// beatInterval is the time between two writes of an owner within a chunk.
+	// beatInterval is the time between two heartbeats of an owner while a chunk
+	// runs.
 	beatInterval = 5 * time.Second
-	// chunkRetry is the pause after a chunk could not be stored.
+	// chunkRetry is the pause before the results of a chunk are stored again after
+	// a failure.
 	chunkRetry = 2 * time.Second
-	// handOverTimeout bounds the release of a batch at a stop.
-	handOverTimeout = 2 * time.Second
-	// itemsAtOnce is how many items of a batch run at the same time.
-	itemsAtOnce = 8
-	// maxBatches is how many batches a node runs at once.
+	// releaseTimeout bounds the release of a batch when the node stops.
+	releaseTimeout = 2 * time.Second
+	// maxConcurrentItems is the maximum number of items of one batch that run at the
+	// same time.
+	maxConcurrentItems = 8
+	// maxBatches is the maximum number of batches that a node runs at once.
 	maxBatches = 4
 )
 
 // Item is one input of a batch.
 type Item struct {
 	Account, Pipeline string
-	// Key is the item's request key; unique to the item, equal on every node.
+	// Key is the idempotency key of the item: unique to the item, and the same on
+	// every node.
 	Key   string
 	Input json.RawMessage
 }
 
-// Execute runs an item below urgent work and returns what its caller would be
-// told: the complete answer, or an honest refusal.
+// Execute runs an item at a priority below urgent requests. It returns the HTTP
+// status and body that a caller would receive: the complete response, or a
+// refusal with its verdict.
 type Execute func(ctx context.Context, it Item) (status int, body []byte)
 
 // Runner runs batches on one node. It implements suture.Service.
@@ -50,27 +55,29 @@
 	store   *Store
 	node    string
 	execute Execute
-	// mine reports whether this node is one that should look after a batch
-	// now; it only spreads the work.
-	mine func(id string) bool
-	log  *slog.Logger
+	// preferred reports whether this node is a preferred owner of a batch. It
+	// only distributes the work; the row's version protects the batch.
+	preferred func(id string) bool
+	log       *slog.Logger
 
 	mu      sync.Mutex
 	running map[string]bool
-	seen    map[string]sighting
+	// observations holds, by batch ID, the row version last read; isFree compares
+	// it to detect owners that no longer write.
+	observations map[string]observation
 }
 
-// sighting is when a row version was first seen.
-type sighting struct {
+// observation is a row version and when this node first read it.
+type observation struct {
 	row store.Version
 	at  time.Time
 }
 
 // NewRunner returns a runner for a node.
-func NewRunner(s *Store, node string, execute Execute, mine func(id string) bool, log *slog.Logger) *Runner {
+func NewRunner(s *Store, node string, execute Execute, preferred func(id string) bool, log *slog.Logger) *Runner {
 	return &Runner{
-		store: s, node: node, execute: execute, mine: mine, log: log,
-		running: make(map[string]bool), seen: make(map[string]sighting),
+		store: s, node: node, execute: execute, preferred: preferred, log: log,
+		running: make(map[string]bool), observations: make(map[string]observation),
 	}
 }
 
@@ -81,13 +88,14 @@
 	return len(r.running)
 }
 
-// Serve looks for batches until ctx ends, then waits for the chunks under way
-// to be dropped; another node carries on.
+// Serve scans for batches and runs them until ctx ends. Then it waits until the
+// chunks in progress are cancelled and their batches released, for another node
+// to continue.
 func (r *Runner) Serve(ctx context.Context) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for {
-		r.look(ctx, &wg)
+		r.scan(ctx, &wg)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -96,41 +104,44 @@
 	}
 }
 
-func (r *Runner) look(ctx context.Context, wg *sync.WaitGroup) {
+// scan starts running the unfinished batches that are free.
+func (r *Runner) scan(ctx context.Context, wg *sync.WaitGroup) {
 	batches, err := r.store.unfinished(ctx)
 	if err != nil {
 		r.log.Debug("batches not read", "err", err)
 		return
 	}
 	for _, v := range batches {
-		if !r.free(v, time.Now()) || !r.enter(v.ID) {
+		if !r.isFree(v, time.Now()) || !r.addRunning(v.ID) {
 			continue
 		}
 		wg.Go(func() {
-			defer r.leave(v.ID)
+			defer r.removeRunning(v.ID)
 			r.run(ctx, v)
 		})
 	}
 }
 
-// free reports whether this node may take the batch over: nobody owns it, or
-// its row has not changed for the lease time.
-func (r *Runner) free(v version, now time.Time) bool {
+// isFree reports whether this node may take the batch over: the batch has no
+// owner, or its row has not changed for the lease time.
+func (r *Runner) isFree(v version, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if s, ok := r.seen[v.ID]; !ok || s.row != v.row {
-		r.seen[v.ID] = sighting{row: v.row, at: now}
+	if s, ok := r.observations[v.ID]; !ok || s.row != v.row {
+		r.observations[v.ID] = observation{row: v.row, at: now}
 	}
-	idle := now.Sub(r.seen[v.ID].at)
+	idle := now.Sub(r.observations[v.ID].at)
 	if v.Owner != "" {
 		idle -= leaseTime
 	}
-	// Nodes that are not the first choice wait longer, in case the first choice
-	// is gone.
-	return idle >= 2*scanInterval || (idle >= 0 && r.mine(v.ID))
+	// A node that is not preferred waits two scan intervals longer and takes the
+	// batch only if the preferred ones have not done so.
+	return idle >= 2*scanInterval || (idle >= 0 && r.preferred(v.ID))
 }
 
-func (r *Runner) enter(id string) bool {
+// addRunning records that this node runs the batch. It returns false if the node
+// already runs it or runs maxBatches.
+func (r *Runner) addRunning(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.running[id] || len(r.running) >= maxBatches {
@@ -140,13 +151,15 @@
 	return true
 }
 
-func (r *Runner) leave(id string) {
+func (r *Runner) removeRunning(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.running, id)
-	delete(r.seen, id)
+	delete(r.observations, id)
 }
 
+// run takes the batch over and runs its remaining chunks. It stops early if ctx
+// ends, the store fails or another node takes the batch over.
 func (r *Runner) run(ctx context.Context, v version) {
 	v, err := r.store.takeOver(ctx, v, r.node)
 	if err != nil {
@@ -155,10 +168,10 @@
 	r.log.Info("batch taken", "batch", v.ID, "account", v.Account, "epoch", v.Epoch, "finished", v.Finished(), "items", v.Items)
 	inputs, err := r.store.inputs(ctx, v.ID)
 	for err == nil && !v.Done() && ctx.Err() == nil {
-		v, err = r.chunk(ctx, v, inputs)
+		v, err = r.runChunk(ctx, v, inputs)
 	}
 	if ctx.Err() != nil {
-		r.handOver(v)
+		r.releaseOnStop(v)
 		return
 	}
 	if err != nil {
@@ -170,24 +183,25 @@
 	}
 }
 
-// handOver releases a batch when this node stops, best effort: without it the
-// next owner waits for the lease.
-func (r *Runner) handOver(v version) {
-	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
+// releaseOnStop gives up a batch when this node stops, best effort. If it fails,
+// the next owner waits for the lease to expire.
+func (r *Runner) releaseOnStop(v version) {
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	if err := r.store.release(ctx, v); err != nil {
 		r.log.Warn("batch not handed over", "batch", v.ID, "err", err)
 	}
 }
 
-// chunk runs the next items and stores their results.
-func (r *Runner) chunk(ctx context.Context, v version, inputs []json.RawMessage) (version, error) {
+// runChunk runs the items of the next chunk and stores their results. It writes a
+// heartbeat while they run.
+func (r *Runner) runChunk(ctx context.Context, v version, inputs []json.RawMessage) (version, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	results := make(chan []Result, 1)
 	first := len(v.Results) * ChunkItems
 	last := min(first+ChunkItems, len(inputs))
-	go func() { results <- r.items(ctx, v.Batch, inputs[first:last], first) }()
+	go func() { results <- r.runItems(ctx, v.Batch, inputs[first:last], first) }()
 	beat := time.NewTicker(beatInterval)
 	defer beat.Stop()
 	for {
@@ -196,10 +210,10 @@
 			if ctx.Err() != nil {
 				return v, ctx.Err()
 			}
-			return r.finish(ctx, v, res)
+			return r.storeResults(ctx, v, res)
 		case <-beat.C:
 			next, err := r.store.beat(ctx, v)
-			if lost(err) {
+			if isConflict(err) {
 				return v, err
 			}
 			if err == nil {
@@ -209,20 +223,22 @@
 	}
 }
 
-// lost reports whether another node owns the batch now.
-func lost(err error) bool {
+// isConflict reports whether err is a conflict on the batch's row, which means that
+// another node owns the batch.
+func isConflict(err error) bool {
 	var conflict *store.ConflictError
 	return errors.As(err, &conflict)
 }
 
-// finish stores results, through outages, until the batch is lost.
-func (r *Runner) finish(ctx context.Context, v version, res []Result) (version, error) {
+// storeResults stores the results of a chunk. It retries through outages until
+// they are stored, another node owns the batch, or ctx ends.
+func (r *Runner) storeResults(ctx context.Context, v version, res []Result) (version, error) {
 	for {
 		next, err := r.store.finishChunk(ctx, v, res)
 		if err == nil {
 			return next, nil
 		}
-		if lost(err) {
+		if isConflict(err) {
 			return v, err
 		}
 		r.log.Warn("batch results not stored yet", "batch", v.ID, "err", err)
@@ -231,7 +247,7 @@
 			return v, ctx.Err()
 		case <-time.After(chunkRetry):
 		}
-		// The row may have been written before the answer was lost.
+		// The row may have been written although the reply was lost.
 		if cur, err := r.store.get(ctx, v.ID); err == nil {
 			if cur.Epoch != v.Epoch {
 				return v, &store.ConflictError{}
@@ -244,10 +260,12 @@
 	}
 }
 
-func (r *Runner) items(ctx context.Context, b Batch, inputs []json.RawMessage, first int) []Result {
+// runItems runs the items whose first index is first and returns their results in
+// item order.
+func (r *Runner) runItems(ctx context.Context, b Batch, inputs []json.RawMessage, first int) []Result {
 	out := make([]Result, len(inputs))
 	var g errgroup.Group
-	g.SetLimit(itemsAtOnce)
+	g.SetLimit(maxConcurrentItems)
 	for i, in := range inputs {
 		g.Go(func() error {
 			index := first + i
--- a/internal/batch/store.go
+++ b/internal/batch/store.go
@@ -1,12 +1,11 @@
-// Package batch keeps and runs durable batches: many inputs of one pipeline
-// that are acknowledged only when they are stored, and that any node can carry
-// on after another died. Source: docs/design/009-batches.md.
+// Package batch stores and runs durable batches: many inputs of one pipeline. A
+// batch is acknowledged only after it is stored, and any node can continue it if
+// its owner dies. Source: docs/design/009-batches.md.
 //
 // The inputs of a batch are one object and its state is one row. Results are
-// written a chunk of items at a time: first an object, then, in the same
-// transaction that proves that the writer still owns the batch, the row that
-// refers to it. A writer that lost the batch leaves an object that nothing
-// refers to.
+// written a chunk of items at a time: first an object, then the row that refers
+// to it. The write of the row is conditional on the row's version and so fails
+// if the writer no longer owns the batch; its object is then left unreferenced.
 package batch
 
 import (
@@ -26,13 +25,13 @@
 const (
 	batchTable = "batch"
 	// ChunkItems is the number of items whose results are stored together. It
-	// bounds the writes: one object and one row a chunk.
+	// bounds the writes: one object and one write of the row per chunk.
 	ChunkItems = 32
-	// MaxItems bounds the items of one batch.
+	// MaxItems is the maximum number of items in one batch.
 	MaxItems = 100_000
-	// settlePause is the pause between tries to settle a lost reply.
-	settlePause = 200 * time.Millisecond
-	// scanPage is the number of rows of one read.
+	// retryPause is the pause between attempts to resolve a lost reply.
+	retryPause = 200 * time.Millisecond
+	// scanPage is the maximum number of rows per scan of the table.
 	scanPage = 200
 )
 
@@ -43,20 +42,23 @@
 	Pipeline string    `json:"pipeline"`
 	Items    int       `json:"items"`
 	Created  time.Time `json:"created"`
-	// Fingerprint hashes the inputs; a key that is used again for others is
-	// refused.
+	// Fingerprint is a hash of the pipeline and the inputs. A request key that is
+	// used again with another fingerprint is refused.
 	Fingerprint string `json:"fingerprint"`
-	// Owner is the node that runs the batch and Epoch counts the owners; a
-	// write of an old owner fails on the row's version.
+	// Owner is the node that runs the batch, and Epoch is incremented at each
+	// takeover. A write of a former owner fails because the row's version
+	// changed.
 	Owner string `json:"owner,omitempty"`
 	Epoch int64  `json:"epoch"`
-	// Beat makes each write of the row unique and shows that the owner lives.
+	// Beat is a unique ID per write of the row: a heartbeat that shows that the
+	// owner is alive.
 	Beat string `json:"beat"`
-	// Results names the objects of the finished chunks, in order.
+	// Results are the keys of the objects with the results of the finished
+	// chunks, in order.
 	Results []string `json:"results,omitempty"`
 }
 
-// Done reports whether every item has its result.
+// Done reports whether every item has a result.
 func (b *Batch) Done() bool { return len(b.Results) == b.chunks() }
 
 func (b *Batch) chunks() int { return (b.Items + ChunkItems - 1) / ChunkItems }
@@ -64,12 +66,12 @@
 // Finished returns the number of items with a result.
 func (b *Batch) Finished() int { return min(b.Items, len(b.Results)*ChunkItems) }
 
-// Result is how one item ended.
+// Result is the result of one item.
 type Result struct {
 	Index int `json:"index"`
-	// Status is the HTTP status that a caller would have got.
+	// Status is the HTTP status that a caller would have received.
 	Status int `json:"status"`
-	// Body is the complete answer, or the refusal with its verdict.
+	// Body is the complete response, or the refusal with its verdict.
 	Body json.RawMessage `json:"body"`
 }
 
@@ -90,8 +92,9 @@
 
 func inputKey(id string) string { return "batch/" + id + "/input" }
 
-// idOf names a batch. With a request key it is the same for every submission
-// of that key, so that a repeat finds the batch instead of doubling it.
+// idOf returns the ID of a batch. With a request key it is the same for every
+// submission of that key, so that a repeat finds the batch instead of creating a
+// second one.
 func (s *Store) idOf(account, key string) string {
 	if key == "" {
 		return s.newID()
@@ -101,7 +104,7 @@
 }
 
 // Submit stores a batch. When it returns without an error the batch is durable.
-// A repeat with the same key returns the batch that is stored already.
+// A repeat with the same key returns the stored batch.
 func (s *Store) Submit(ctx context.Context, account, pipeline, key string, inputs []json.RawMessage) (Batch, error) {
 	body, err := json.Marshal(inputs)
 	if err != nil {
@@ -113,7 +116,7 @@
 		Created: time.Now().UTC(), Fingerprint: hex.EncodeToString(sum[:]), Beat: s.newID(),
 	}
 	if old, err := s.get(ctx, b.ID); err == nil {
-		return same(old.Batch, b)
+		return checkRepeat(old.Batch, b)
 	}
 	if err := s.store.Put(ctx, inputKey(b.ID), body); err != nil {
 		return Batch{}, err
@@ -125,22 +128,25 @@
 		if err != nil {
 			return Batch{}, err
 		}
-		return same(old.Batch, b)
+		return checkRepeat(old.Batch, b)
 	}
 	return b, err
 }
 
-// ErrKeyReused: the request key belongs to a batch with other inputs.
+// ErrKeyReused is returned if the request key belongs to a batch with another
+// pipeline or other inputs.
 var ErrKeyReused = errors.New("batch: key used for other inputs")
 
-func same(old, b Batch) (Batch, error) {
+// checkRepeat returns the stored batch old if b is a repeat of its submission.
+func checkRepeat(old, b Batch) (Batch, error) {
 	if old.Fingerprint != b.Fingerprint {
 		return Batch{}, ErrKeyReused
 	}
 	return old, nil
 }
 
-// write replaces the row if it still has the version.
+// write creates or replaces the row if it still has the version; the zero version
+// means that no row exists.
 func (s *Store) write(ctx context.Context, b Batch, row store.Version) error {
 	value, err := json.Marshal(b)
 	if err != nil {
@@ -151,13 +157,13 @@
 		Writes:     []store.Write{{Table: batchTable, Key: b.ID, Value: value}},
 	}
 	for {
-		applied, err := store.CommitSettled(ctx, s.store, tx, settlePause)
+		applied, err := store.CommitSettled(ctx, s.store, tx, retryPause)
 		if err == nil && applied {
 			return nil
 		}
 		var conflict *store.ConflictError
 		if errors.As(err, &conflict) {
-			return s.ownOrConflict(ctx, b, value, conflict)
+			return s.resolveConflict(ctx, b, value, conflict)
 		}
 		if err != nil {
 			return err
@@ -165,9 +171,9 @@
 	}
 }
 
-// ownOrConflict tells a conflict with this same write, applied late, from one
-// with another writer.
-func (s *Store) ownOrConflict(ctx context.Context, b Batch, value []byte, conflict error) error {
+// resolveConflict returns nil if the conflict is with this same write, whose earlier
+// attempt was applied late, and conflict if it is with another writer.
+func (s *Store) resolveConflict(ctx context.Context, b Batch, value []byte, conflict error) error {
 	own, err := store.Applied(ctx, s.store, batchTable, b.ID, value)
 	if err == nil && own {
 		return nil
@@ -198,7 +204,7 @@
 	return v, eris.Wrapf(err, "decode batch %s", row.Key)
 }
 
-// unfinished returns the batches that still have work.
+// unfinished returns the batches that are not done.
 func (s *Store) unfinished(ctx context.Context) ([]version, error) {
 	var out []version
 	last := ""
@@ -257,14 +263,15 @@
 	return s.beat(ctx, v)
 }
 
-// release gives a batch up, so that another node need not wait for the lease.
+// release clears the owner of a batch, so that the next owner need not wait for
+// the lease to expire.
 func (s *Store) release(ctx context.Context, v version) error {
 	v.Owner = ""
 	_, err := s.beat(ctx, v)
 	return err
 }
 
-// beat writes the row anew and returns it with its new version.
+// beat writes the row with a new heartbeat and returns it with its new version.
 func (s *Store) beat(ctx context.Context, v version) (version, error) {
 	v.Beat = s.newID()
 	if err := s.write(ctx, v.Batch, v.row); err != nil {
@@ -280,7 +287,7 @@
 	return next, nil
 }
 
-// finishChunk stores the results of the next chunk.
+// finishChunk stores the results of the next chunk and adds them to the row.
 func (s *Store) finishChunk(ctx context.Context, v version, results []Result) (version, error) {
 	body, err := json.Marshal(results)
 	if err != nil {
