--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,6 +1,6 @@
-// Package catalog defines what operators submit: templates of pipelines and
-// the client accounts that fill them in. It validates a whole configuration
-// and compiles it into immutable plans. It does no I/O.
+// Package catalog defines the configuration that operators submit: templates of
+// pipelines, the client accounts that use them, drains and stops. It validates a
+// whole configuration and compiles it into immutable plans. It does no I/O.
 package catalog
 
 import (
@@ -36,7 +36,7 @@
 	return "unknown"
 }
 
-// ParseClass reads the name of a class.
+// ParseClass returns the class with the given name.
 func ParseClass(s string) (Class, error) {
 	i := slices.Index(classNames[:], s)
 	if i < 0 {
@@ -66,10 +66,10 @@
 type Template struct {
 	// Name is unique among templates.
 	Name string `json:"name" need:"true"`
-	// Parameters are the values that an account fills in.
+	// Parameters are the values that an account provides.
 	Parameters []Parameter `json:"parameters"`
-	// Pipeline is a Pipeline in which a string "${name}" stands for the value
-	// of a parameter.
+	// Pipeline is the JSON form of a Pipeline in which a string "${name}" is
+	// replaced by the value of a parameter.
 	Pipeline any `json:"pipeline" need:"true"`
 }
 
@@ -86,12 +86,12 @@
 
 // Parameter declares one value of a template.
 type Parameter struct {
-	// Name is what "${name}" refers to.
+	// Name is the name in references "${name}".
 	Name string `json:"name" need:"true"`
 	// Type is string, int, bool or duration.
 	Type ParamType `json:"type" need:"true"`
-	// Default is used when an account gives no value; without it the value
-	// must be given.
+	// Default is used if an account gives no value; without a default a value is
+	// required.
 	Default any `json:"default,omitempty"`
 	// OneOf limits a string to these values.
 	OneOf []string `json:"one_of,omitempty"`
@@ -100,15 +100,18 @@
 	Max *int64 `json:"max,omitempty"`
 }
 
-// Pipeline is what one request runs through.
+// Pipeline is the sequence of stages that a request runs through, with its class
+// and deadline.
 type Pipeline struct {
 	// Class is the priority class.
 	Class Class `json:"class" need:"true"`
-	// Deadline is the time from arrival to the complete answer.
+	// Deadline is the time from the arrival of a request to its complete
+	// response.
 	Deadline strictjson.Duration `json:"deadline" need:"true"`
-	// Idempotent says that a request may run more than once.
+	// Idempotent is true if a request may run more than once.
 	Idempotent bool `json:"idempotent"`
-	// Stages run one after another; each sees the results of those before.
+	// Stages run one after another; each receives the results of the earlier
+	// ones.
 	Stages []Stage `json:"stages" need:"true"`
 }
 
@@ -118,14 +121,16 @@
 	Name string `json:"name" need:"true"`
 	// Pool is the pool of targets that serves the stage.
 	Pool string `json:"pool" need:"true"`
-	// Model and Adapter must be loaded at the target; empty for any.
+	// Model and Adapter must be loaded on the target; empty for any.
 	Model   string `json:"model"`
 	Adapter string `json:"adapter"`
-	// MaxTokens bounds the output of a generate stage.
+	// MaxTokens is the maximum output of a generate stage, in tokens.
 	MaxTokens int `json:"max_tokens"`
-	// TopK is the number of documents that a retrieve or rerank stage keeps.
+	// TopK is the number of documents that a retrieve or rerank stage
+	// returns.
 	TopK int `json:"top_k"`
-	// Attempts is the most attempts at an idempotent request. Default 3.
+	// Attempts is the maximum number of attempts at an idempotent request.
+	// Default 3.
 	Attempts int `json:"attempts"`
 }
 
@@ -135,25 +140,27 @@
 	Name string `json:"name" need:"true"`
 	// TokensSHA256 are the SHA-256 hashes, in hex, of the account's tokens.
 	TokensSHA256 []string `json:"tokens_sha256" need:"true"`
-	// RatePerSecond is the rate of requests over all nodes; 0 for no limit.
+	// RatePerSecond is the maximum rate of requests over all nodes; 0 for no
+	// limit.
 	RatePerSecond float64 `json:"rate_per_second,omitempty"`
-	// Concurrent is the most requests in flight at one node; 0 for no limit.
+	// Concurrent is the maximum number of requests in flight at one node; 0 for
+	// no limit.
 	Concurrent int `json:"concurrent,omitempty"`
 	// Pipelines are the templates that the account uses.
 	Pipelines []Binding `json:"pipelines" need:"true"`
 }
 
-// Binding fills in a template for an account.
+// Binding is the use of a template by an account, with parameter values.
 type Binding struct {
 	// Name is the pipeline's name in the caller API.
 	Name string `json:"name" need:"true"`
-	// Template names the template.
+	// Template is the name of the template.
 	Template string `json:"template" need:"true"`
-	// Parameters gives the template's values.
+	// Parameters are the values of the template's parameters, by name.
 	Parameters map[string]any `json:"parameters,omitempty"`
 }
 
-// Kind says what an Item of a change is.
+// Kind is the kind of object that an Item of a change concerns.
 type Kind string
 
 // The kinds of items.
@@ -170,7 +177,7 @@
 type Item struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
-	// Value is the new object; empty when it is deleted.
+	// Value is the new object; nil if the object is deleted.
 	Value json.RawMessage `json:"value,omitempty"`
 }
 
@@ -179,11 +186,12 @@
 
 // Change is one accepted change of the configuration and its audit record.
 type Change struct {
-	// Revision is the revision that the change made; it grows by one.
+	// Revision is the revision after the change; each change adds one.
 	Revision int64 `json:"revision"`
-	// ID is unique to the submission, so that a lost reply can be settled.
+	// ID is unique to the submission, so that after a lost reply the submitter can
+	// determine whether the change was applied.
 	ID string `json:"id"`
-	// By is the operator, At the time of submission.
+	// By is the operator and At is the time of submission.
 	By string    `json:"by"`
 	At time.Time `json:"at"`
 	// Note is the operator's reason.
@@ -191,32 +199,32 @@
 	Items []Item `json:"items"`
 }
 
-// Drain is an operator's order that a target host gets no new work.
+// Drain is an operator's order that a target host receives no new work.
 type Drain struct {
 	// Host is the ID of the target host.
 	Host string `json:"host" need:"true"`
-	// Reason is for other operators.
+	// Reason is shown to other operators.
 	Reason string `json:"reason"`
 }
 
-// DataCentreDrain is an operator's order that the target hosts of a data centre get no new
-// work, those that come meanwhile included.
+// DataCentreDrain is an operator's order that the target hosts of a data centre
+// receive no new work, including hosts that join while the order stands.
 type DataCentreDrain struct {
 	DataCentre string `json:"data_centre" need:"true"`
-	// Reason is for other operators.
+	// Reason is shown to other operators.
 	Reason string `json:"reason"`
 }
 
 // Stop is an operator's order that a node stops gracefully at a time.
 type Stop struct {
-	// Node is the name of the node. A process that was started after At ignores
+	// Node is the name of the node. A process that is started after At ignores
 	// the order.
 	Node string    `json:"node" need:"true"`
 	At   time.Time `json:"at" need:"true"`
 }
 
-// Manifest is what an operator submits in one file: objects to create or
-// replace and names to delete.
+// Manifest is the content of a file that an operator submits: objects to create
+// or replace and names of objects to delete.
 type Manifest struct {
 	Templates      []Template `json:"templates"`
 	Accounts       []Account  `json:"accounts"`
@@ -225,7 +233,7 @@
 }
 
 // ParseManifest reads a manifest from JSON with comments. The error is a
-// strictjson.Problems with every fault of the form.
+// strictjson.Problems that lists every fault of syntax and structure.
 func ParseManifest(src []byte) (Manifest, error) {
 	var m Manifest
 	err := strictjson.Decode(src, &m)
--- a/internal/catalog/compile.go
+++ b/internal/catalog/compile.go
@@ -9,38 +9,38 @@
 	"topazmoor/internal/strictjson"
 )
 
-// defaultAttempts is Stage.Attempts when a template leaves it out.
+// defaultAttempts is the value of Stage.Attempts if a template does not set it.
 const defaultAttempts = 3
 
-// Apply returns the configuration after the items, at the given revision. The
-// receiver stays as it was. The error is a strictjson.Problems; the whole
-// change is rejected when one item is faulty.
+// Apply returns the configuration with the items applied, at the given revision.
+// The receiver is not modified. The error is a strictjson.Problems; the whole
+// change is rejected if one item is faulty.
 //
 // The cost grows with the number of accounts (the index is copied) but only
-// the accounts that the items touch are compiled.
+// the accounts that the items affect are compiled.
 func (c *Compiled) Apply(revision int64, items []Item) (*Compiled, error) {
 	next := &Compiled{
-		Revision:    revision,
-		templates:   maps.Clone(c.templates),
-		accounts:    maps.Clone(c.accounts),
-		tokens:      maps.Clone(c.tokens),
-		drains:      maps.Clone(c.drains),
-		dataCentres: maps.Clone(c.dataCentres),
-		stops:       maps.Clone(c.stops),
-		plans:       maps.Clone(c.plans),
-		pools:       c.pools,
+		Revision:  revision,
+		templates: maps.Clone(c.templates),
+		accounts:  maps.Clone(c.accounts),
+		tokens:    maps.Clone(c.tokens),
+		drains:    maps.Clone(c.drains),
+		dcDrains:  maps.Clone(c.dcDrains),
+		stops:     maps.Clone(c.stops),
+		plans:     maps.Clone(c.plans),
+		pools:     c.pools,
 	}
 	var probs strictjson.Problems
 	changed := next.applyTemplates(items, &probs)
-	touched := next.applyAccounts(items, &probs)
+	affected := next.applyAccounts(items, &probs)
 	applyObjects(next.drains, DrainItem, items, &probs)
-	applyObjects(next.dataCentres, DataCentreDrainItem, items, &probs)
+	applyObjects(next.dcDrains, DataCentreDrainItem, items, &probs)
 	applyObjects(next.stops, StopItem, items, &probs)
 	if len(changed) > 0 {
 		next.plans = make(map[string]*Plan)
-		next.touchUsers(changed, touched)
+		next.addTemplateUsers(changed, affected)
 	}
-	for name := range touched {
+	for name := range affected {
 		next.compileAccount(name, &probs)
 	}
 	if err := probs.Err(); err != nil {
@@ -49,6 +49,7 @@
 	return next, nil
 }
 
+// applyTemplates applies the items that are templates and returns their names.
 func (c *Compiled) applyTemplates(items []Item, probs *strictjson.Problems) map[string]bool {
 	changed := make(map[string]bool)
 	for _, it := range items {
@@ -62,7 +63,7 @@
 		}
 		var t Template
 		if err := strictjson.Decode(it.Value, &t); err != nil {
-			addAll(probs, it.Key(), err)
+			addProblems(probs, it.Key(), err)
 			continue
 		}
 		checkName(probs, it, t.Name)
@@ -72,39 +73,42 @@
 	return changed
 }
 
+// applyAccounts applies the items that are accounts and returns the names of the
+// accounts that must be compiled.
 func (c *Compiled) applyAccounts(items []Item, probs *strictjson.Problems) map[string]bool {
-	touched := make(map[string]bool)
+	affected := make(map[string]bool)
 	for _, it := range items {
 		if it.Kind != AccountItem {
 			continue
 		}
-		c.dropAccount(it.Name)
+		c.removeAccount(it.Name)
 		if it.Value == nil {
-			delete(touched, it.Name)
+			delete(affected, it.Name)
 			continue
 		}
 		var a Account
 		if err := strictjson.Decode(it.Value, &a); err != nil {
-			addAll(probs, it.Key(), err)
+			addProblems(probs, it.Key(), err)
 			continue
 		}
 		checkName(probs, it, a.Name)
 		c.accounts[it.Name] = &CompiledAccount{
 			Name: it.Name, RatePerSecond: a.RatePerSecond, Concurrent: a.Concurrent, source: it.Value,
 		}
-		touched[it.Name] = true
+		affected[it.Name] = true
 	}
-	return touched
+	return affected
 }
 
-// checkName demands that an object is stored under its own name.
+// checkName adds a problem if the name of an object differs from that of its
+// item or is empty.
 func checkName(probs *strictjson.Problems, it Item, name string) {
 	if name != it.Name || name == "" {
 		probs.Add(it.Key()+".name", "is %q: write %q", name, it.Name)
 	}
 }
 
-// applyObjects applies the items of one kind that need no compilation.
+// applyObjects applies the items of one kind of object that needs no compilation.
 func applyObjects[T any](objects map[string]T, kind Kind, items []Item, probs *strictjson.Problems) {
 	for _, it := range items {
 		if it.Kind != kind {
@@ -116,14 +120,15 @@
 		}
 		var v T
 		if err := strictjson.Decode(it.Value, &v); err != nil {
-			addAll(probs, it.Key(), err)
+			addProblems(probs, it.Key(), err)
 			continue
 		}
 		objects[it.Name] = v
 	}
 }
 
-func (c *Compiled) dropAccount(name string) {
+// removeAccount removes an account and its tokens.
+func (c *Compiled) removeAccount(name string) {
 	old := c.accounts[name]
 	if old == nil {
 		return
@@ -136,12 +141,12 @@
 	}
 }
 
-// touchUsers adds the accounts that use a changed template.
-func (c *Compiled) touchUsers(changed, touched map[string]bool) {
+// addTemplateUsers adds the accounts that use a changed template to affected.
+func (c *Compiled) addTemplateUsers(changed, affected map[string]bool) {
 	for name, a := range c.accounts {
 		for _, p := range a.plans {
 			if changed[p.plan.Template] {
-				touched[name] = true
+				affected[name] = true
 			}
 		}
 	}
@@ -183,7 +188,8 @@
 	}
 }
 
-// plan compiles a binding; equal bindings share one plan.
+// plan returns the compiled plan of a binding, or nil if it has a problem.
+// Bindings with the same template and parameters share one plan.
 func (c *Compiled) plan(at string, b Binding, probs *strictjson.Problems) *Plan {
 	key, err := json.Marshal(b.Parameters)
 	if err != nil {
@@ -215,7 +221,7 @@
 	}
 	var p Pipeline
 	if err := strictjson.DecodeTree(tree, &p); err != nil {
-		addAll(probs, "template/"+t.Name+".pipeline", err)
+		addProblems(probs, "template/"+t.Name+".pipeline", err)
 		return nil
 	}
 	c.checkPipeline(probs, "template/"+t.Name+".pipeline", p)
@@ -259,7 +265,9 @@
 	}
 }
 
-func addAll(probs *strictjson.Problems, path string, err error) {
+// addProblems adds the problems of err below path; an err that is not a
+// strictjson.Problems is added as one problem.
+func addProblems(probs *strictjson.Problems, path string, err error) {
 	list, ok := err.(strictjson.Problems)
 	if !ok {
 		probs.Add(path, "%v", err)
--- a/internal/catalog/compiled.go
+++ b/internal/catalog/compiled.go
@@ -27,24 +27,25 @@
 	Kind settings.PoolKind
 }
 
-// CompiledAccount is an account with its plans. It keeps the account as JSON
-// instead of decoded, because a node holds tens of thousands of them.
+// CompiledAccount is an account with its plans. It stores the account as JSON
+// rather than decoded, to save memory: a node holds tens of thousands of them.
 type CompiledAccount struct {
 	Name          string
 	RatePerSecond float64
 	Concurrent    int
 
-	plans  []namedPlan
+	plans []namedPlan
+	// source is the account as JSON, as submitted.
 	source []byte
 }
 
-// namedPlan is a plan under the account's name for it.
+// namedPlan is a plan with the pipeline name that the account gives it.
 type namedPlan struct {
 	name string
 	plan *Plan
 }
 
-// Plan returns the plan of a pipeline, or nil.
+// Plan returns the plan of the pipeline with this name, or nil.
 func (a *CompiledAccount) Plan(pipeline string) *Plan {
 	for _, p := range a.plans {
 		if p.name == pipeline {
@@ -57,12 +58,12 @@
 // decode returns the account as it was submitted.
 func (a *CompiledAccount) decode() Account {
 	var acct Account
-	// It was decoded before it was taken in.
+	// No error: applyAccounts has decoded the source before storing it.
 	_ = strictjson.Decode(a.source, &acct)
 	return acct
 }
 
-// tokenHash is the SHA-256 of a token.
+// tokenHash is the SHA-256 hash of a token.
 type tokenHash [sha256.Size]byte
 
 func parseTokenHash(s string) (h tokenHash, ok bool) {
@@ -73,18 +74,20 @@
 	return tokenHash(b), true
 }
 
-// Compiled is a whole configuration, ready to serve. It is immutable.
+// Compiled is a whole validated and compiled configuration. It is immutable after
+// Apply returns it.
 type Compiled struct {
 	Revision  int64
 	templates map[string]*Template
 	accounts  map[string]*CompiledAccount
 	tokens    map[tokenHash]*CompiledAccount
 	drains    map[string]Drain
-	// dataCentres are the drains of whole data centres.
-	dataCentres map[string]DataCentreDrain
-	stops       map[string]Stop
-	pools       map[string]settings.Pool
-	plans       map[string]*Plan
+	// dcDrains are the drains of data centres by name.
+	dcDrains map[string]DataCentreDrain
+	stops    map[string]Stop
+	pools    map[string]settings.Pool
+	// plans is the cache of compiled plans, by template name and parameter values.
+	plans map[string]*Plan
 }
 
 // New returns an empty configuration over the given pools.
@@ -94,14 +97,14 @@
 		byName[p.Name] = p
 	}
 	return &Compiled{
-		templates:   make(map[string]*Template),
-		accounts:    make(map[string]*CompiledAccount),
-		tokens:      make(map[tokenHash]*CompiledAccount),
-		drains:      make(map[string]Drain),
-		dataCentres: make(map[string]DataCentreDrain),
-		stops:       make(map[string]Stop),
-		plans:       make(map[string]*Plan),
-		pools:       byName,
+		templates: make(map[string]*Template),
+		accounts:  make(map[string]*CompiledAccount),
+		tokens:    make(map[tokenHash]*CompiledAccount),
+		drains:    make(map[string]Drain),
+		dcDrains:  make(map[string]DataCentreDrain),
+		stops:     make(map[string]Stop),
+		plans:     make(map[string]*Plan),
+		pools:     byName,
 	}
 }
 
@@ -119,20 +122,20 @@
 // Accounts returns the number of accounts.
 func (c *Compiled) Accounts() int { return len(c.accounts) }
 
-// Drained reports whether an operator ordered the host drained.
+// Drained reports whether a drain order for the host exists.
 func (c *Compiled) Drained(host string) bool {
 	_, ok := c.drains[host]
 	return ok
 }
 
-// DataCentreDrained reports whether an operator ordered the data centre drained.
+// DataCentreDrained reports whether a drain order for the data centre exists.
 func (c *Compiled) DataCentreDrained(name string) bool {
-	_, ok := c.dataCentres[name]
+	_, ok := c.dcDrains[name]
 	return ok
 }
 
 // DataCentreDrains returns all drain orders of data centres by name.
-func (c *Compiled) DataCentreDrains() map[string]DataCentreDrain { return maps.Clone(c.dataCentres) }
+func (c *Compiled) DataCentreDrains() map[string]DataCentreDrain { return maps.Clone(c.dcDrains) }
 
 // Drains returns all drain orders by host.
 func (c *Compiled) Drains() map[string]Drain { return maps.Clone(c.drains) }
@@ -163,7 +166,7 @@
 			v = d
 		}
 	case DataCentreDrainItem:
-		if d, ok := c.dataCentres[name]; ok {
+		if d, ok := c.dcDrains[name]; ok {
 			v = d
 		}
 	case StopItem:
@@ -181,8 +184,8 @@
 	return b
 }
 
-// PlansOf returns the plans that items bring about: those of changed accounts
-// and those of changed templates.
+// PlansOf returns the plans in c that the items affect: those of changed accounts
+// and those of changed templates. A plan may occur more than once.
 func (c *Compiled) PlansOf(items []Item) []*Plan {
 	var out []*Plan
 	for _, it := range items {
@@ -200,8 +203,8 @@
 	return out
 }
 
-// Items returns the whole configuration as items, for a peer that starts
-// without the table service.
+// Items returns the whole configuration as items, for a peer that starts while
+// the table service is unavailable.
 func (c *Compiled) Items() []Item {
 	var items []Item
 	for name := range c.templates {
@@ -213,7 +216,7 @@
 	for name := range c.drains {
 		items = append(items, Item{Kind: DrainItem, Name: name, Value: c.Object(DrainItem, name)})
 	}
-	for name := range c.dataCentres {
+	for name := range c.dcDrains {
 		items = append(items, Item{Kind: DataCentreDrainItem, Name: name, Value: c.Object(DataCentreDrainItem, name)})
 	}
 	for name := range c.stops {
--- a/internal/catalog/params.go
+++ b/internal/catalog/params.go
@@ -11,7 +11,7 @@
 	"topazmoor/internal/strictjson"
 )
 
-// checkParameters validates the declarations of a template.
+// checkParameters validates the parameter declarations of a template.
 func checkParameters(probs *strictjson.Problems, path string, t Template) {
 	seen := make(map[string]bool)
 	for i, p := range t.Parameters {
@@ -34,7 +34,9 @@
 	}
 }
 
-// bindParameters returns the values of all parameters of t.
+// bindParameters returns the values of all parameters of t: the given ones, or
+// their defaults. It adds a problem for each value that is missing, invalid or
+// unknown.
 func bindParameters(probs *strictjson.Problems, path string, t *Template, given map[string]any) map[string]any {
 	values := make(map[string]any)
 	for _, p := range t.Parameters {
@@ -60,7 +62,7 @@
 	return values
 }
 
-// mismatch says why v does not fit p, or returns "".
+// mismatch returns the reason why v is not a valid value of p, or "".
 func mismatch(p Parameter, v any) string {
 	switch p.Type {
 	case BoolParam:
@@ -115,7 +117,7 @@
 func substitute(probs *strictjson.Problems, path string, tree any, values map[string]any) any {
 	switch x := tree.(type) {
 	case string:
-		name, ok := reference(x)
+		name, ok := parseReference(x)
 		if !ok {
 			return x
 		}
@@ -123,7 +125,7 @@
 		if !ok {
 			probs.Add(path, "refers to ${%s}, which is not a parameter", name)
 		}
-		return number(v)
+		return toJSONNumber(v)
 	case map[string]any:
 		out := make(map[string]any, len(x))
 		for k, v := range x {
@@ -137,12 +139,14 @@
 		}
 		return out
 	case float64:
-		return number(x)
+		return toJSONNumber(x)
 	}
 	return tree
 }
 
-func reference(s string) (string, bool) {
+// parseReference returns the name in a string "${name}"; the result is false for
+// other strings.
+func parseReference(s string) (string, bool) {
 	rest, ok := strings.CutPrefix(s, "${")
 	if !ok {
 		return "", false
@@ -150,9 +154,9 @@
 	return strings.CutSuffix(rest, "}")
 }
 
-// number turns a float64 of an earlier decoding into the json.Number that
-// strictjson.DecodeTree expects.
-func number(v any) any {
+// toJSONNumber converts a float64 from an earlier decoding to the json.Number
+// that strictjson.DecodeTree expects. Other values are returned unchanged.
+func toJSONNumber(v any) any {
 	f, ok := v.(float64)
 	if !ok {
 		return v
