--- a/internal/batch/store.go
+++ b/internal/batch/store.go
@@ -171,8 +171,8 @@
 	}
 }
 
-// resolveConflict returns nil if the conflict is with this same write, whose earlier
-// attempt was applied late, and conflict if it is with another writer.
+// resolveConflict returns nil if the conflict is with this same write, whose
+// earlier attempt was applied late, and conflict if it is with another writer.
 func (s *Store) resolveConflict(ctx context.Context, b Batch, value []byte, conflict error) error {
 	own, err := store.Applied(ctx, s.store, batchTable, b.ID, value)
 	if err == nil && own {
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -126,8 +126,8 @@
 	Adapter string `json:"adapter"`
 	// MaxTokens is the maximum output of a generate stage, in tokens.
 	MaxTokens int `json:"max_tokens"`
-	// TopK is the number of documents that a retrieve or rerank stage
-	// returns.
+	// TopK is the number of documents that a retrieve or rerank
+	// stage returns.
 	TopK int `json:"top_k"`
 	// Attempts is the maximum number of attempts at an idempotent request.
 	// Default 3.
--- a/internal/control/shard.go
+++ b/internal/control/shard.go
@@ -1,9 +1,9 @@
 // Package control runs background work that must run on one node at a time,
-// such as deleting old rows. Each piece of work is a shard with a row
-// in the table service. The row's version is the fencing token: every durable
-// effect of an owner is committed together with the row, so that the commit of
-// an owner that was replaced without noticing fails. Clocks only decide when a
-// node tries to take over; safety does not depend on them. Source:
+// such as deleting old rows. Each piece of work is a shard with a row in the
+// table service. The row's version is the fencing token: every durable effect of
+// an owner is committed together with the row, so that the commit of an owner
+// that was replaced without noticing fails. Clocks only decide when a node tries
+// to take over; safety does not depend on them. Source:
 // docs/design/010-control-shards.md.
 package control
 
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,6 +1,6 @@
 // Package ledger keeps claims of idempotency keys, so that a request that may
 // not be repeated runs at most once, and the recorded outcome, so that a
-// repeat gets the same answer.
+// repeat gets the same response.
 //
 // A claim belongs to one attempt and is never inherited by another: if its
 // holder dies, the outcome of the key is unknown permanently. Three
@@ -78,7 +78,8 @@
 
 // Book is a registry of claims.
 type Book interface {
-	// Claim grants the key to one attempt until Finish releases it. A repeated
+	// Claim grants the key to one attempt until Finish releases it or its
+	// record is deleted after the time for repeats has passed. A repeated
 	// call of the same attempt is granted again until it has an outcome. After
 	// an error this attempt must not run; another attempt may hold the key.
 	Claim(ctx context.Context, c Claim) (Grant, error)
--- a/internal/ledger/ticket.go
+++ b/internal/ledger/ticket.go
@@ -107,7 +107,7 @@
 // sweepInterval is the time between removals of expired records.
 const sweepInterval = 10 * time.Second
 
-// NewTicketBook returns an empty book.
+// NewTicketBook returns a TicketBook without records.
 func NewTicketBook(t *Tickets) *TicketBook {
 	return &TicketBook{tickets: t, records: make(map[Key]*ticketRecord)}
 }
