--- a/internal/control/shard.go
+++ b/internal/control/shard.go
@@ -36,8 +36,7 @@
 	retryPause = 200 * time.Millisecond
 )
 
-// ErrLost is returned when the row of an owned shard was changed by another
-// node.
+// ErrLost is returned by a commit if another node has changed the shard's row.
 var ErrLost = errors.New("control: shard lost")
 
 // row is the value of a shard's row.
