--- a/internal/store/memory.go
+++ b/internal/store/memory.go
@@ -12,7 +12,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Faults are the failures of a Memory store. The zero value is a healthy one.
+// Faults are the failures that a Memory store injects. The zero value injects none.
 type Faults struct {
 	// Down refuses every call with ErrUnavailable.
 	Down bool `json:"down"`
@@ -29,7 +29,8 @@
 	LateBy      time.Duration `json:"late_by"`
 }
 
-// Counts are the calls that a Memory store has served.
+// Counts are the numbers of calls that a Memory store has served and of rows and objects
+// written.
 type Counts struct {
 	Commits int64 `json:"commits"`
 	Writes  int64 `json:"writes"`
@@ -46,9 +47,9 @@
 	objects map[string][]byte
 	// deleted holds the version at which rows were deleted.
 	deleted map[rowID]Version
-	// compacted is the version up to which changes are forgotten.
+	// compacted is the version up to which the history of changes is dropped.
 	compacted Version
-	// changed is closed at the next change.
+	// changed is closed at the next change, and replaced then.
 	changed chan struct{}
 	version Version
 	faults  Faults
@@ -72,7 +73,7 @@
 	m.faults = f
 }
 
-// Counts returns the calls served so far.
+// Counts returns the counts so far.
 func (m *Memory) Counts() Counts {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -90,39 +91,39 @@
 	m.applyAll(Tx{Writes: []Write{{Table: HostTable, Key: h.ID, Value: value}}})
 }
 
-// RemoveHost drops one host from the host list.
+// RemoveHost deletes one host from the host list.
 func (m *Memory) RemoveHost(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.applyAll(Tx{Writes: []Write{{Table: HostTable, Key: id, Delete: true}}})
 }
 
-// Compact forgets all changes so far; followers must read whole tables.
+// Compact drops the history of all changes so far; followers must read whole tables.
 func (m *Memory) Compact() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.compacted = m.version
 	clear(m.deleted)
-	m.wake()
+	m.notifyWaiters()
 }
 
-// wake tells those who wait for changes. The lock is held.
-func (m *Memory) wake() {
+// notifyWaiters wakes the calls that wait for changes. The caller holds m.mu.
+func (m *Memory) notifyWaiters() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// Saved is a copy of a Memory, from which it may come back.
+// Saved is a backup of a Memory, from which Restore can restore it.
 type Saved struct {
 	tables  map[string]map[string]Row
 	objects map[string][]byte
 	deleted map[rowID]Version
 	version Version
-	// compacted is the version up to which changes were forgotten.
+	// compacted is the version up to which the history of changes had been dropped.
 	compacted Version
 }
 
-// Save copies the store as it is.
+// Save returns a backup of the current content of the store.
 func (m *Memory) Save() *Saved {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -133,7 +134,7 @@
 	return s
 }
 
-// Restore brings the store back as it was when s was saved, in a new era.
+// Restore replaces the content of the store by the backup s and begins a new era.
 func (m *Memory) Restore(s *Saved) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -145,24 +146,25 @@
 	}
 	m.version = Version{Era: era, Number: s.version.Number}
 	m.compacted = s.compacted
-	m.wake()
+	m.notifyWaiters()
 }
 
-// Version returns where the store is.
+// Version returns the version of the last commit.
 func (m *Memory) Version() Version {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.version
 }
 
-// read returns a row as it is read now: in this era. The lock is held.
-func (m *Memory) read(r Row) Row {
+// withCurrentEra returns r with the current era in its version. The caller holds m.mu.
+func (m *Memory) withCurrentEra(r Row) Row {
 	r.Version.Era = m.version.Era
 	return r
 }
 
-// enter waits out the delay and reports whether the call is refused.
-func (m *Memory) enter(ctx context.Context) error {
+// checkFaults waits for the injected delay and returns ErrUnavailable if the store is down or ctx
+// has ended.
+func (m *Memory) checkFaults(ctx context.Context) error {
 	m.mu.Lock()
 	f := m.faults
 	m.mu.Unlock()
@@ -181,7 +183,7 @@
 
 // Commit implements Tables.
 func (m *Memory) Commit(ctx context.Context, tx Tx) (Version, error) {
-	if err := m.enter(ctx); err != nil {
+	if err := m.checkFaults(ctx); err != nil {
 		return Version{}, err
 	}
 	m.mu.Lock()
@@ -208,14 +210,16 @@
 	return m.version, nil
 }
 
+// applyAll applies the writes of tx as one new version. The caller holds m.mu.
 func (m *Memory) applyAll(tx Tx) {
 	m.version.Number++
 	for _, w := range tx.Writes {
 		m.apply(w)
 	}
-	m.wake()
+	m.notifyWaiters()
 }
 
+// applyLate applies a delayed commit if its conditions still hold.
 func (m *Memory) applyLate(tx Tx) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -224,6 +228,7 @@
 	}
 }
 
+// failed returns the indices of the conditions that do not hold. The caller holds m.mu.
 func (m *Memory) failed(conds []Condition) []int {
 	var out []int
 	for i, c := range conds {
@@ -256,7 +261,7 @@
 
 // Get implements Tables.
 func (m *Memory) Get(ctx context.Context, table, key string) (Row, error) {
-	if err := m.enter(ctx); err != nil {
+	if err := m.checkFaults(ctx); err != nil {
 		return Row{}, err
 	}
 	m.mu.Lock()
@@ -266,12 +271,12 @@
 	if !ok {
 		return Row{}, &NotFoundError{Era: m.version.Era}
 	}
-	return m.read(r), nil
+	return m.withCurrentEra(r), nil
 }
 
 // Scan implements Tables.
 func (m *Memory) Scan(ctx context.Context, table, prefix, after string, limit int) ([]Row, error) {
-	if err := m.enter(ctx); err != nil {
+	if err := m.checkFaults(ctx); err != nil {
 		return nil, err
 	}
 	m.mu.Lock()
@@ -280,7 +285,7 @@
 	var out []Row
 	for k, r := range m.tables[table] {
 		if strings.HasPrefix(k, prefix) && k > after {
-			out = append(out, m.read(r))
+			out = append(out, m.withCurrentEra(r))
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Key < out[j].Key })
@@ -292,7 +297,7 @@
 
 // Put implements Objects.
 func (m *Memory) Put(ctx context.Context, key string, value []byte) error {
-	if err := m.enter(ctx); err != nil {
+	if err := m.checkFaults(ctx); err != nil {
 		return err
 	}
 	m.mu.Lock()
@@ -304,7 +309,7 @@
 
 // GetObject implements Objects.
 func (m *Memory) GetObject(ctx context.Context, key string) ([]byte, error) {
-	if err := m.enter(ctx); err != nil {
+	if err := m.checkFaults(ctx); err != nil {
 		return nil, err
 	}
 	m.mu.Lock()
@@ -327,7 +332,7 @@
 	for _, r := range snap.Rows {
 		var h Host
 		if err := json.Unmarshal(r.Value, &h); err != nil {
-			return nil, eris.Wrapf(err, "host %s", r.Key)
+			return nil, eris.Wrapf(err, "decode host %s", r.Key)
 		}
 		out = append(out, h)
 	}
@@ -336,7 +341,7 @@
 
 // Snapshot implements Watchable. Rows are sorted by key.
 func (m *Memory) Snapshot(ctx context.Context, table string, _ Version) (Snapshot, error) {
-	if err := m.enter(ctx); err != nil {
+	if err := m.checkFaults(ctx); err != nil {
 		return Snapshot{}, err
 	}
 	m.mu.Lock()
@@ -344,7 +349,7 @@
 	m.counts.Reads++
 	s := Snapshot{Version: m.version}
 	for _, r := range m.tables[table] {
-		s.Rows = append(s.Rows, m.read(r))
+		s.Rows = append(s.Rows, m.withCurrentEra(r))
 	}
 	sort.Slice(s.Rows, func(i, j int) bool { return s.Rows[i].Key < s.Rows[j].Key })
 	return s, nil
@@ -352,7 +357,7 @@
 
 // Changes implements Watchable.
 func (m *Memory) Changes(ctx context.Context, table string, after Version, wait time.Duration) (Changes, error) {
-	if err := m.enter(ctx); err != nil {
+	if err := m.checkFaults(ctx); err != nil {
 		return Changes{}, err
 	}
 	timeout := time.NewTimer(wait)
@@ -378,9 +383,9 @@
 	}
 }
 
-// changesAfter lists the changes of a table. The lock is held.
+// changesAfter lists the changes of a table after a version. The caller holds m.mu.
 func (m *Memory) changesAfter(table string, after Version) (Changes, error) {
-	// It knows callers' numbers only, not of which era they are.
+	// The service gets only the number of the caller's version, not its era.
 	if after.Number < m.compacted.Number || after.Number > m.version.Number {
 		return Changes{}, ErrCompacted
 	}
@@ -388,12 +393,12 @@
 	out := Changes{Version: m.version}
 	for _, r := range m.tables[table] {
 		if r.Version.Number > after.Number {
-			out.Changes = append(out.Changes, Change{Row: m.read(r)})
+			out.Changes = append(out.Changes, Change{Row: m.withCurrentEra(r)})
 		}
 	}
 	for id, version := range m.deleted {
 		if id.table == table && version.Number > after.Number {
-			out.Changes = append(out.Changes, Change{Row: m.read(Row{Table: table, Key: id.key, Version: version}), Deleted: true})
+			out.Changes = append(out.Changes, Change{Row: m.withCurrentEra(Row{Table: table, Key: id.key, Version: version}), Deleted: true})
 		}
 	}
 	sort.Slice(out.Changes, func(i, j int) bool { return out.Changes[i].Version.Before(out.Changes[j].Version) })
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,11 +1,11 @@
-// Package platform is the one way to the outside services that keep state for
-// the system: the transactional table service, the object store and the host
-// list. It holds the interfaces' types, an HTTP client, and an in-memory twin
-// with faults that tests and the stand-in use.
+// Package store defines the interfaces and types of the external services that keep
+// the state of the system: the transactional table service, the object store and the
+// host list. It also has an in-memory implementation with injected faults, for tests
+// and for the stand-in platform.
 //
-// A call can end in three ways: it took effect, it did not (ErrUnavailable),
-// or nobody can say (ErrUnknown, a lost reply). Callers must handle the third
-// by reading back what they wrote; see docs/design/002-platform.md.
+// A call has one of three outcomes: it took effect, it did not (ErrUnavailable), or
+// the outcome is unknown because the reply was lost (ErrUnknown). After ErrUnknown a
+// caller must read back what it wrote; see docs/design/002-platform.md.
 package store
 
 import (
@@ -14,28 +14,28 @@
 	"time"
 )
 
-// ErrUnavailable: the service did not take the call; nothing was applied.
+// ErrUnavailable: the service did not accept the call; nothing was applied.
 var ErrUnavailable = errors.New("store: service unavailable")
 
 // ErrUnknown: the reply was lost; the call may or may not have been applied.
 var ErrUnknown = errors.New("store: reply lost, outcome unknown")
 
-// ErrCompacted: the changes asked for are no longer kept; read the whole table.
+// ErrCompacted: the requested changes are no longer kept; read the whole table.
 var ErrCompacted = errors.New("store: history compacted")
 
-// ErrStale: the table was read as it was before a version that is known already.
-var ErrStale = errors.New("store: the read is older than what is known")
+// ErrStale: the read returned the table at a version older than one that the caller already has.
+var ErrStale = errors.New("store: read is older than the known version")
 
-// ErrNotFound: no such row or object.
+// ErrNotFound: the row or object does not exist.
 var ErrNotFound = errors.New("store: not found")
 
-// NotFoundError is ErrNotFound with the era in which there is no such row.
+// NotFoundError is ErrNotFound with the era in which the row does not exist.
 type NotFoundError struct{ Era int64 }
 
 // Error implements error.
 func (e *NotFoundError) Error() string { return ErrNotFound.Error() }
 
-// Is makes it an ErrNotFound.
+// Is makes errors.Is match ErrNotFound.
 func (e *NotFoundError) Is(target error) bool { return target == ErrNotFound }
 
 // Row is one row of a table.
@@ -43,13 +43,13 @@
 	Table string `json:"table"`
 	Key   string `json:"key"`
 	Value []byte `json:"value"`
-	// Version is that of the last write, in the era in which the row was read; it is never
-	// zero for a row that exists.
+	// Version has the commit number of the row's last write and the era in which the row
+	// was read; it is never zero for a row that exists.
 	Version Version `json:"version"`
 }
 
-// Condition demands that a row has exactly this version; the zero Version demands that
-// the row does not exist. It holds in the era of the version only.
+// Condition requires that a row has exactly this version; the zero Version requires that
+// the row does not exist. A non-zero version matches only in its own era.
 type Condition struct {
 	Table   string  `json:"table"`
 	Key     string  `json:"key"`
@@ -83,9 +83,9 @@
 // Tables is the transactional table service.
 type Tables interface {
 	// Commit applies tx and returns its version. It fails with *ConflictError,
-	// ErrUnavailable or ErrUnknown. A condition of an earlier era does not hold; where the
-	// service began another era meanwhile the error is ErrUnknown, as a number may have been
-	// given out again.
+	// ErrUnavailable or ErrUnknown. A condition with a version of an earlier era does not
+	// hold. If the service began another era during the call, the error is ErrUnknown, as a
+	// commit number may have been reused.
 	Commit(ctx context.Context, tx Tx) (Version, error)
 	// Get returns one row, or *NotFoundError.
 	Get(ctx context.Context, table, key string) (Row, error)
@@ -97,11 +97,11 @@
 // Snapshot is a whole table as of one version.
 type Snapshot struct {
 	Rows []Row
-	// Version is the newest one that the rows take in.
+	// Version is the newest version that the rows include.
 	Version Version
 }
 
-// Change is one changed row; the last change of a row stands for all before.
+// Change is one changed row; the last change of a row replaces all earlier ones.
 type Change struct {
 	Row
 	// Deleted rows have no value.
@@ -111,31 +111,32 @@
 // Changes are the changes of a table up to a version.
 type Changes struct {
 	Changes []Change
-	// Version is where the next call goes on.
+	// Version is the version to pass as after to the next call.
 	Version Version
 }
 
-// Watchable is a table service whose tables can be followed.
+// Watchable is a table service whose changes can be followed.
 type Watchable interface {
-	// Snapshot returns a whole table. It may be some seconds old; it fails with ErrStale, as soon
-	// as that is known, where it is older than least.
+	// Snapshot returns a whole table, which may be some seconds old. An implementation that
+	// detects that the table is older than least fails with ErrStale at once.
 	Snapshot(ctx context.Context, table string, least Version) (Snapshot, error)
 	// Changes returns what changed in a table after a version, in order. It
 	// waits up to wait for a first change and then returns none. It fails with
-	// ErrCompacted or ErrUnavailable; ErrCompacted also where the service does not have that
-	// number. It knows the number only: changes of another era do not go on where after is.
+	// ErrCompacted or ErrUnavailable; ErrCompacted also if the service has not reached that
+	// number. The service gets only the number of after: if the returned Version is of another
+	// era than after, the changes do not continue from after.
 	Changes(ctx context.Context, table string, after Version, wait time.Duration) (Changes, error)
 }
 
 // Objects is the object store.
 type Objects interface {
-	// Put replaces an object. A repeat of the same Put is harmless.
+	// Put creates or replaces an object. It is idempotent.
 	Put(ctx context.Context, key string, value []byte) error
 	// GetObject returns an object, or ErrNotFound.
 	GetObject(ctx context.Context, key string) ([]byte, error)
 }
 
-// HostState is what the host list says of a target host.
+// HostState is the state of a target host in the host list.
 type HostState string
 
 // The states of a host.
@@ -146,44 +147,44 @@
 
 // Host is one target host of the host list.
 type Host struct {
-	// ID is unique and never used again for another host.
+	// ID is unique and is never reused for another host.
 	ID string `json:"id"`
-	// Addr is IP:port.
+	// Addr is the address as IP:port.
 	Addr string `json:"addr"`
 	// Pool is the stage pool, engine pool or service that it serves.
 	Pool       string `json:"pool"`
 	DataCentre string `json:"data_centre"`
-	// Version is that of its software; "" for unknown.
+	// Version is the version of the host's software; empty if unknown.
 	Version string `json:"version,omitempty"`
-	// Models and Adapters are loaded now; empty for plain services.
+	// Models and Adapters are those currently loaded; empty for a service without models.
 	Models   []string `json:"models,omitempty"`
 	Adapters []string `json:"adapters,omitempty"`
-	// Slots is how many calls it works on at once.
+	// Slots is the number of calls that the host processes concurrently.
 	Slots int       `json:"slots"`
 	State HostState `json:"state"`
-	// Born is when its process started, in Unix milliseconds; 0 for unknown.
+	// Born is when the host's process started, in Unix milliseconds; 0 if unknown.
 	Born int64 `json:"born,omitempty"`
-	// WarmupMS is how long it is still cold, in milliseconds.
+	// WarmupMS is the remaining warm-up time of the host, in milliseconds.
 	WarmupMS float64 `json:"warmup_ms,omitempty"`
 }
 
-// HostTable is the table of the host list: a row a target host, by its ID, with a
-// Host as JSON. It lags behind reality, and the system does not write to it.
+// HostTable is the table of the host list. It has one row per target host, with the host's ID
+// as key and a Host as JSON. It lags behind the real state; the system does not write to it.
 const HostTable = "hosts"
 
-// Store is everything that the platform keeps.
+// Store has all services of the platform that keep state.
 type Store interface {
 	Tables
 	Watchable
 	Objects
 }
 
-// Applied settles a commit whose reply may be lost. It reads back one row that
-// the transaction wrote: if the row holds want, the transaction was applied.
+// Applied determines the outcome of a commit whose reply may be lost. It reads back one
+// row that the transaction wrote: if its value is want, the transaction was applied.
 // Because a transaction is atomic one row is enough, provided that want is
 // unique to this transaction.
 //
-// It returns ErrUnknown while the service cannot be read.
+// It returns ErrUnknown if the row cannot be read.
 func Applied(ctx context.Context, t Tables, table, key string, want []byte) (bool, error) {
 	row, err := t.Get(ctx, table, key)
 	if errors.Is(err, ErrNotFound) {
@@ -196,8 +197,8 @@
 }
 
 // CommitSettled commits tx and, after a lost reply, reads back the row written
-// by tx.Writes[0] until it knows the outcome or ctx ends. The value of that
-// row must be unique to this transaction.
+// by tx.Writes[0], with the given pause between reads, until a read succeeds or ctx
+// ends. The value of that row must be unique to this transaction.
 //
 // A transaction that was sent but not yet applied can still be applied after
 // it was read back as absent. The result false therefore means "not applied
