--- a/internal/watch/copy.go
+++ b/internal/watch/copy.go
@@ -12,48 +12,47 @@
 	"topazmoor/internal/store"
 )
 
-// maxEditions is how many of its latest changes a copy remembers, for whoever follows it.
-// A follower that is further behind gets the copy whole.
-const maxEditions = 256
+// maxChangeSets is how many of its latest change sets a copy keeps for its followers. A follower
+// that is further behind gets the whole table.
+const maxChangeSets = 256
 
-// News brings a copy of a table from one version to another.
+// News is an update that brings a copy of a table from one version to another.
 type News struct {
-	// Since and Version bound the changes: they hold for any copy at or after Since.
+	// Since and Version bound the changes: they apply to any copy at or after Since.
 	Since, Version store.Version
-	// Whole says that Rows are the whole table, whatever the other copy holds.
+	// Whole is set if Rows are the whole table, which replaces any copy.
 	Whole bool
 	Rows  []store.Row
 	// Deleted are the keys of removed rows.
 	Deleted []string
 }
 
-// Position is how far a copy is.
+// Position is the version and the checksum of a copy.
 type Position struct {
-	// Version is the newest one that the copy takes in; zero before the first read.
+	// Version is the newest version that the copy includes; zero before the first read.
 	Version store.Version
-	// Sum is the same for copies with the same rows.
+	// Sum is a checksum over the keys and versions of the rows, independent of their order.
 	Sum uint64
 }
 
-// Copy is a table as it was last seen, and its latest changes. It is safe for concurrent
-// use. Its maps are replaced and never changed.
+// Copy is the last known state of a table and its latest changes. It is safe for concurrent
+// use. Its map of rows is replaced and never modified.
 type Copy struct {
 	mu       sync.Mutex
 	rows     map[string]store.Row
 	position Position
-	// editions are the latest changes, oldest first. They are complete from version
-	// base on.
-	editions []edition
-	base     store.Version
-	// whole is the table as news, as somebody last asked for it, wholeAt where the copy was then
-	// and wholeBuilt when that was.
+	// changeSets are the latest changes, oldest first. They are complete after version base.
+	changeSets []changeSet
+	base       store.Version
+	// whole is the cached update with the whole table, wholeAt the position of the copy at its
+	// build, and wholeBuilt the time when it was last found current.
 	whole      *News
 	wholeAt    Position
 	wholeBuilt time.Time
 }
 
-// edition is the keys that became different at a version of the copy.
-type edition struct {
+// changeSet is the set of keys whose rows changed when the copy moved to a version.
+type changeSet struct {
 	version store.Version
 	keys    []string
 }
@@ -65,14 +64,14 @@
 	return c.rows
 }
 
-// Position returns how far the copy is.
+// Position returns the position of the copy.
 func (c *Copy) Position() Position {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.position
 }
 
-// replace sets the whole copy as of a version, and returns the keys of the rows that differ.
+// replace sets all rows of the copy as of a version, and returns the keys of the rows that differ.
 func (c *Copy) replace(list []store.Row, version store.Version) (changed []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,14 +92,14 @@
 	}
 	c.set(next, changed, version)
 	if first {
-		// Nobody follows a copy from before it was read, nor from an earlier era.
-		c.editions, c.base = nil, version
+		// Changes cannot be served from before the first read, nor from an earlier era.
+		c.changeSets, c.base = nil, version
 	}
 	return changed
 }
 
-// merge takes changes in and builds the next copy beside the old one, which readers may
-// still hold. It returns the keys of the rows that changed.
+// merge applies changes to a new map of rows, as readers may still use the old one. It returns the
+// keys of the rows that changed.
 func (c *Copy) merge(rows []store.Row, deleted []string, version store.Version) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,14 +119,15 @@
 	return keys
 }
 
-// advance notes that nothing changed up to a version.
+// advance records that nothing changed up to a version.
 func (c *Copy) advance(version store.Version) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.position.Version = c.position.Version.Max(version)
 }
 
-// set puts the next rows in place; changed has each key once. The caller holds c.mu.
+// set replaces the rows and updates the checksum and the change sets; changed has each changed key
+// once. The caller holds c.mu.
 func (c *Copy) set(next map[string]store.Row, changed []string, version store.Version) {
 	for _, k := range changed {
 		if old, ok := c.rows[k]; ok {
@@ -142,41 +142,43 @@
 	if len(changed) == 0 {
 		return
 	}
-	c.editions = append(c.editions, edition{version: version, keys: changed})
-	if over := len(c.editions) - maxEditions; over > 0 {
-		c.base = c.editions[over-1].version
-		c.editions = slices.Clone(c.editions[over:])
+	c.changeSets = append(c.changeSets, changeSet{version: version, keys: changed})
+	if over := len(c.changeSets) - maxChangeSets; over > 0 {
+		c.base = c.changeSets[over-1].version
+		c.changeSets = slices.Clone(c.changeSets[over:])
 	}
 }
 
-// rowSum tells rows apart by key and version.
+// rowSum is a hash of a row's key and version number.
 func rowSum(r store.Row) uint64 {
 	buf := make([]byte, 0, 64)
 	buf = append(buf, r.Key...)
 	return xxhash.Sum64(binary.BigEndian.AppendUint64(buf, uint64(r.Version.Number)))
 }
 
-// Anew is the version of a copy that differs from this one, and is to be replaced.
+// Anew is the version that a follower sends to have its copy replaced by the current whole table,
+// as its rows differ.
 var Anew = store.Version{Number: -2}
 
-// wholeLife is for how long the whole table is told as it was. While all nodes and targets start, it changes many times a second, and each of the many nodes
-// that ask would get another one.
-const wholeLife = 2 * time.Second
+// wholeMaxAge is for how long Tell reuses an update with the whole table. While all nodes and targets
+// start, the table changes many times a second, and one would be built for each of the many nodes
+// that ask.
+const wholeMaxAge = 2 * time.Second
 
-// Tell is Since, but may return the whole table as it was a moment ago: the position is where it was
-// then, and the next call goes on from there.
+// Tell is like Since, but may return a cached update with the whole table, at most wholeMaxAge old. The
+// position is that of the update, and the next call continues from there.
 func (c *Copy) Tell(version store.Version) (*News, Position) {
 	c.mu.Lock()
 	if c.rows != nil && version != Anew && version.Before(c.base) {
 		defer c.mu.Unlock()
-		return c.wholeNews(wholeLife), c.wholeAt
+		return c.wholeUpdate(wholeMaxAge), c.wholeAt
 	}
 	c.mu.Unlock()
 	return c.Since(version)
 }
 
-// Since returns what a copy at a version lacks, nil for nothing, and where this copy is. News
-// must not be changed: all followers that need the whole table share it.
+// Since returns the update for a copy at a version, nil if it lacks nothing, and the position that
+// it leads to. The update must not be modified: all followers that need the whole table share it.
 func (c *Copy) Since(version store.Version) (*News, Position) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -184,11 +186,11 @@
 	case c.rows == nil || !version.Before(c.position.Version):
 		return nil, c.position
 	case version.Before(c.base):
-		return c.wholeNews(0), c.wholeAt
+		return c.wholeUpdate(0), c.wholeAt
 	}
 	news := &News{Since: version, Version: c.position.Version}
 	seen := make(map[string]bool)
-	for _, e := range c.editions {
+	for _, e := range c.changeSets {
 		if version.Before(e.version) {
 			c.addKeys(news, e.keys, seen)
 		}
@@ -199,7 +201,8 @@
 	return news, c.position
 }
 
-// addKeys adds the rows with these keys, as they are now, to news. The caller holds c.mu.
+// addKeys adds the current rows with these keys to news, except the keys in seen. The caller holds
+// c.mu.
 func (c *Copy) addKeys(news *News, keys []string, seen map[string]bool) {
 	for _, k := range keys {
 		if seen[k] {
@@ -214,8 +217,9 @@
 	}
 }
 
-// wholeNews returns the table as news, as it was at most some time ago. The caller holds c.mu.
-func (c *Copy) wholeNews(life time.Duration) *News {
+// wholeUpdate returns an update with the whole table; one built less than life ago may be reused. The
+// caller holds c.mu.
+func (c *Copy) wholeUpdate(life time.Duration) *News {
 	now := time.Now()
 	old := c.whole == nil || c.wholeAt.Version.Before(c.base) || now.Sub(c.wholeBuilt) >= life
 	if old && (c.whole == nil || c.wholeAt != c.position) {
--- a/internal/watch/copy_test.go
+++ b/internal/watch/copy_test.go
@@ -12,13 +12,13 @@
 	"topazmoor/internal/store"
 )
 
-// TestOracleFollowedCopiesAgree changes a copy at random, as changes and whole reads of a
-// store come, and brings two others up to it now and then: they have the same rows, the same
-// sum, and a version that never fell.
+// TestOracleFollowedCopiesAgree changes a copy at random by changes and whole reads, and updates
+// two followers from it now and then: they must have the same rows and the same checksum, and their
+// versions must never fall.
 //
-// It was seen to fail within its 100 scripts with a key counted twice that changed twice in
-// one answer, with news from the middle of the editions, and without keys that a whole read
-// lacks.
+// It fails within its 100 scripts if a key that changed twice in one answer is counted twice, if an
+// update starts in the middle of the change sets, or if keys that are missing from a whole read are
+// not reported as changed.
 func TestOracleFollowedCopiesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var lead Copy
@@ -68,7 +68,7 @@
 	})
 }
 
-// catchUp brings a follower up to the lead, as a relay does.
+// catchUp updates a follower from the lead, as package relay does.
 func catchUp(t *rapid.T, f *Table, lead *Copy) {
 	before := f.copy.Position().Version
 	since := before
@@ -93,7 +93,7 @@
 	c := qt.New(t)
 	var lead Copy
 	lead.replace(nil, store.Version{Number: 1})
-	for i := range 2 * maxEditions {
+	for i := range 2 * maxChangeSets {
 		lead.merge([]store.Row{{Key: fmt.Sprint(i % 3), Version: store.Version{Number: int64(i + 2)}}}, nil, store.Version{Number: int64(i + 2)})
 	}
 	news, at := lead.Since(store.Version{Number: 2})
@@ -114,15 +114,15 @@
 	c.Assert(f.Take(News{Since: store.Version{Number: 3}, Version: store.Version{Number: 4}}), qt.Equals, ErrGap)
 	c.Assert(f.Take(News{Whole: true, Version: store.Version{Number: 5}, Rows: []store.Row{{Key: "a", Version: store.Version{Number: 5}}}}), qt.IsNil)
 	c.Assert(f.Take(News{Since: store.Version{Number: 6}, Version: store.Version{Number: 7}}), qt.Equals, ErrGap)
-	// Older than the copy: dropped.
+	// An update older than the copy is dropped.
 	c.Assert(f.Take(News{Whole: true, Version: store.Version{Number: 4}}), qt.IsNil)
 	c.Assert(f.Copy().Rows(), qt.HasLen, 1)
 	c.Assert(f.Compare(Position{Version: store.Version{Number: 6}}), qt.Equals, ErrDiffers)
 	c.Assert(f.Compare(Position{Version: store.Version{Number: 4}}), qt.IsNil)
 }
 
-// A copy of a later era is told whole to whoever is of an earlier one, and taken, whatever the
-// numbers are; the other way round nothing changes.
+// A follower of an earlier era gets the whole table from a copy of a later one and applies it, whatever
+// the numbers are. An update of an earlier era changes nothing.
 func TestCopyOfALaterEraIsToldWhole(t *testing.T) {
 	c := qt.New(t)
 	var lead Copy
@@ -137,25 +137,25 @@
 	c.Assert(follower.Take(*news), qt.IsNil)
 	c.Assert(follower.Compare(at), qt.IsNil)
 	c.Assert(follower.copy.Rows(), qt.HasLen, 1)
-	// The former copy is old news.
+	// The update of the earlier era is dropped.
 	c.Assert(follower.Take(*behind), qt.IsNil)
 	c.Assert(follower.copy.Position(), qt.Equals, at)
-	// The same rows of another era are not the same copy.
+	// Copies with the same rows in different eras differ.
 	same := Position{Version: store.Version{Era: 2, Number: 5}, Sum: at.Sum}
 	c.Assert(follower.Compare(same), qt.Equals, ErrDiffers)
 	none, _ := lead.Since(store.Version{Era: 2, Number: 1})
 	c.Assert(none, qt.IsNil)
 }
 
-// A copy of a later era comes with the moment of the store's return, whoever tells it: rows may be
-// missing that their writers write again.
+// A view of a later era has the time of the store's restore in Regained, whether the copy came from the
+// store or from another node: rows may be missing until their writers write them again.
 func TestCopyOfALaterEraTellsOfTheReturn(t *testing.T) {
 	c := qt.New(t)
 	var view View
 	table := &Table{Apply: func(v View) { view = v }, Log: slog.New(slog.DiscardHandler)}
-	c.Assert(table.takeWhole(store.Snapshot{Version: store.Version{Number: 9}}), qt.IsNil)
+	c.Assert(table.applySnapshot(store.Snapshot{Version: store.Version{Number: 9}}), qt.IsNil)
 	c.Assert(view.Regained.IsZero(), qt.IsTrue)
-	c.Assert(table.takeWhole(store.Snapshot{Version: store.Version{Era: 1, Number: 5}}), qt.IsNil)
+	c.Assert(table.applySnapshot(store.Snapshot{Version: store.Version{Era: 1, Number: 5}}), qt.IsNil)
 	first := view.Regained
 	c.Assert(first.IsZero(), qt.IsFalse)
 	c.Assert(table.Take(News{Whole: true, Version: store.Version{Era: 2, Number: 5}}), qt.IsNil)
--- a/internal/watch/explore_test.go
+++ b/internal/watch/explore_test.go
@@ -15,24 +15,24 @@
 
 var exploreDepth = flag.Int("explore.depth", 8, "how many steps TestExploreReturnsOfTheStore takes")
 
-// explorer is a store that comes back from copies of itself, a node that follows it and another one
-// that follows the node, with the messages on their way. All are the real ones, but for the network.
+// explorer holds a store that is restored from backups, a node that follows it and another node that
+// follows the first, with the messages in flight. All but the network is the product's code.
 type explorer struct {
 	t     *testing.T
 	m     *store.Memory
 	saved *store.Saved
-	// writes and returns count what was done, as both are bounded.
+	// writes and returns count the writes and the restores of the store, as both are bounded.
 	writes, returns int
 	lead, follower  *Table
-	// answers are on their way from the store to the lead, words from there to the follower.
-	answers []answer
-	words   []word
-	// truth has the store's rows at each version that it ever was at.
+	// answers are in flight from the store to the lead, messages from the lead to the follower.
+	answers  []answer
+	messages []message
+	// truth has the store's rows at each version that the store has had.
 	truth map[store.Version]string
 	wrong string
 }
 
-// answer is what the store answered to a call of the lead.
+// answer is the store's answer to one call of the lead.
 type answer struct {
 	whole   *store.Snapshot
 	asked   store.Version
@@ -40,16 +40,16 @@
 	err     error
 }
 
-// word is one message of the lead to its follower.
-type word struct {
+// message is one message from the lead to its follower.
+type message struct {
 	news *News
 	at   Position
 }
 
 const (
-	exploreWrites  = 3
-	exploreReturns = 2
-	exploreInAir   = 2
+	exploreWrites   = 3
+	exploreRestores = 2
+	exploreInFlight = 2
 )
 
 func newExplorer(t *testing.T) *explorer {
@@ -78,8 +78,8 @@
 	return b.String()
 }
 
-// note keeps what the store has now.
-func (x *explorer) note() {
+// recordTruth records the store's current rows in truth.
+func (x *explorer) recordTruth() {
 	snap := x.snapshot()
 	rows := make(map[string]store.Row)
 	for _, r := range snap.Rows {
@@ -94,10 +94,10 @@
 	if _, err := x.m.Commit(x.t.Context(), store.Tx{Writes: []store.Write{{Table: "t", Key: key, Value: value}}}); err != nil {
 		x.t.Fatal(err)
 	}
-	x.note()
+	x.recordTruth()
 }
 
-// steps are what may come next.
+// steps returns the steps that are possible next.
 func (x *explorer) steps() []string {
 	var out []string
 	if x.writes < exploreWrites {
@@ -105,22 +105,22 @@
 	}
 	if x.saved == nil {
 		out = append(out, "save")
-	} else if x.returns < exploreReturns {
+	} else if x.returns < exploreRestores {
 		out = append(out, "return")
 	}
-	if len(x.answers) < exploreInAir {
+	if len(x.answers) < exploreInFlight {
 		out = append(out, "ask whole")
 		if x.lead.copy.Rows() != nil {
 			out = append(out, "ask changes")
 		}
 	}
-	if len(x.words) < exploreInAir && x.lead.copy.Rows() != nil {
+	if len(x.messages) < exploreInFlight && x.lead.copy.Rows() != nil {
 		out = append(out, "tell", "tell whole")
 	}
 	for i := range x.answers {
 		out = append(out, fmt.Sprint("answer ", i))
 	}
-	for i := range x.words {
+	for i := range x.messages {
 		out = append(out, fmt.Sprint("word ", i))
 	}
 	return out
@@ -138,13 +138,13 @@
 		if err != nil {
 			x.t.Fatal(err)
 		}
-		x.note()
+		x.recordTruth()
 	case "save":
 		x.saved = x.m.Save()
 	case "return":
 		x.returns++
 		x.m.Restore(x.saved)
-		x.note()
+		x.recordTruth()
 	case "ask":
 		x.ask(rest)
 	case "tell":
@@ -153,7 +153,7 @@
 			since = store.Version{Number: -1}
 		}
 		news, at := x.lead.copy.Since(since)
-		x.words = append(x.words, word{news, at})
+		x.messages = append(x.messages, message{news, at})
 	case "answer":
 		i := int(rest[0] - '0')
 		a := x.answers[i]
@@ -161,12 +161,12 @@
 		x.take(a)
 	case "word":
 		i := int(rest[0] - '0')
-		w := x.words[i]
-		x.words = slices.Delete(slices.Clone(x.words), i, i+1)
+		w := x.messages[i]
+		x.messages = slices.Delete(slices.Clone(x.messages), i, i+1)
 		if w.news != nil && x.follower.Take(*w.news) != nil {
 			return
 		}
-		// A difference makes the follower ask for the whole table.
+		// After an error the follower would ask for the whole table; the error itself is not checked.
 		_ = x.follower.Compare(w.at)
 	}
 	x.check(before)
@@ -188,14 +188,15 @@
 	case a.err != nil:
 		x.lead.setGap()
 	case a.whole != nil:
-		// An old read is dropped.
-		_ = x.lead.takeWhole(*a.whole)
+		// A stale read is dropped.
+		_ = x.lead.applySnapshot(*a.whole)
 	case !x.lead.gap:
-		x.lead.takeChanges(a.asked, a.changes)
+		x.lead.applyChanges(a.asked, a.changes)
 	}
 }
 
-// check compares each copy with what the store had at the copy's version, and with where it was.
+// check compares each copy with the store's rows at the copy's version, and its version with the one
+// before the step.
 func (x *explorer) check(before [2]Position) {
 	for i, table := range []*Table{x.lead, x.follower} {
 		at := table.copy.Position()
@@ -208,7 +209,7 @@
 	}
 }
 
-// settle lets both nodes catch up, and checks that they do.
+// settle lets both nodes catch up, and checks that their copies equal the store.
 func (x *explorer) settle() {
 	x.ask("changes")
 	x.take(x.answers[len(x.answers)-1])
@@ -233,14 +234,14 @@
 	}
 }
 
-// key tells states apart.
+// key identifies a state: equal states have equal keys.
 func (x *explorer) key() string {
 	var b strings.Builder
 	fmt.Fprint(&b, x.m.Version(), x.truth[x.m.Version()], x.saved != nil, x.writes, x.returns)
 	for _, table := range []*Table{x.lead, x.follower} {
 		table.copy.mu.Lock()
 		fmt.Fprint(&b, "|", table.copy.position, describe(table.copy.rows), table.gap, table.copy.base)
-		for _, e := range table.copy.editions {
+		for _, e := range table.copy.changeSets {
 			fmt.Fprint(&b, e.version, e.keys)
 		}
 		table.copy.mu.Unlock()
@@ -248,7 +249,7 @@
 	for _, a := range x.answers {
 		fmt.Fprint(&b, "|a", a.whole, a.asked, a.changes, a.err)
 	}
-	for _, w := range x.words {
+	for _, w := range x.messages {
 		fmt.Fprint(&b, "|w", w.news, w.at)
 	}
 	return b.String()
@@ -260,9 +261,8 @@
 	}
 }
 
-// A copy that moves to another era while a call for changes is on its way, as another node tells it
-// so, must not take the answer: it goes on from a number of the former era. The explorer found it at
-// depth 11, more than CI plays.
+// A copy can move to another era while a call for changes is in flight. It must drop the answer, which
+// continues from a number of the former era. The explorer reaches this case at depth 11 only.
 func TestChangesAskedForInAnEarlierEraAreDropped(t *testing.T) {
 	x := newExplorer(t)
 	x.replay([]string{
@@ -273,9 +273,9 @@
 	}
 }
 
-// TestExploreReturnsOfTheStore takes all orders of writes, returns of the store, calls, answers and
-// words between the nodes, up to a depth: at any moment each copy has what the store had at the
-// copy's version, none goes back, and from each state both nodes catch up.
+// TestExploreReturnsOfTheStore runs all orders of writes, restores of the store, calls, answers and
+// messages between the nodes, up to a depth: in each state each copy has the store's rows at the
+// copy's version, no version falls, and both nodes can catch up.
 func TestExploreReturnsOfTheStore(t *testing.T) {
 	seen := make(map[string]bool)
 	paths := [][]string{nil}
--- a/internal/watch/history_test.go
+++ b/internal/watch/history_test.go
@@ -14,19 +14,20 @@
 )
 
 const (
-	// pollTime is how long a call for changes takes, readTime how long the table takes to read.
+	// pollTime is how long a call for changes takes, readTime how long a read of the whole table takes.
 	pollTime = 1200 * time.Millisecond
 	readTime = 1800 * time.Millisecond
 )
 
-// forgetful is a store that has lost its history, and whose table takes long to read.
-type forgetful struct {
+// compactedStore is a store that has dropped its history of changes, and whose whole table takes
+// readTime to read.
+type compactedStore struct {
 	reads int
-	// stale is how many reads after the first are older than what is known.
+	// stale is how many reads after the first fail with ErrStale.
 	stale int
 }
 
-func (f *forgetful) Snapshot(_ context.Context, _ string, least store.Version) (store.Snapshot, error) {
+func (f *compactedStore) Snapshot(_ context.Context, _ string, minVersion store.Version) (store.Snapshot, error) {
 	f.reads++
 	if f.reads == 1 {
 		return store.Snapshot{Version: store.Version{Number: 5}}, nil
@@ -38,7 +39,7 @@
 	return store.Snapshot{Version: store.Version{Number: 9}}, nil
 }
 
-func (f *forgetful) Changes(ctx context.Context, _ string, after store.Version, _ time.Duration) (store.Changes, error) {
+func (f *compactedStore) Changes(ctx context.Context, _ string, after store.Version, _ time.Duration) (store.Changes, error) {
 	select {
 	case <-time.After(pollTime):
 	case <-ctx.Done():
@@ -50,13 +51,13 @@
 	return store.Changes{Version: after}, nil
 }
 
-// While a long table is read again, as the store lost its history, the store answers all the time:
-// who follows the copy goes by when it was last heard.
+// Followers leave a copy by the age of the store's last answer. That age must stay small while a long
+// table is read again because the store dropped its history, as the store answers all the time.
 func TestStoreWithoutHistoryCountsAsHeard(t *testing.T) {
 	for _, stale := range []int{0, 8} {
 		synctest.Test(t, func(t *testing.T) {
 			table := &Table{
-				Name: "t", From: &forgetful{stale: stale}, Wait: pollTime, Apply: func(View) {},
+				Name: "t", From: &compactedStore{stale: stale}, Wait: pollTime, Apply: func(View) {},
 				Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 			}
 			ctx, cancel := context.WithCancel(t.Context())
@@ -67,7 +68,7 @@
 				time.Sleep(10 * time.Millisecond)
 				oldest = max(oldest, time.Since(table.LastHeard()))
 			}
-			qt.Check(t, oldest < readTime+maxRetry+100*time.Millisecond, qt.IsTrue, qt.Commentf("last heard %v ago, %d old reads", oldest, stale))
+			qt.Check(t, oldest < readTime+maxRetry+100*time.Millisecond, qt.IsTrue, qt.Commentf("last answer %v ago, %d stale reads", oldest, stale))
 			qt.Check(t, table.Lost(), qt.IsFalse)
 			cancel()
 			<-done
@@ -75,7 +76,7 @@
 	}
 }
 
-// While many nodes start they are told the same whole table, with what changed since after it.
+// While many nodes start, all get the same cached whole table first, and the changes since then next.
 func TestWholeTableIsToldAsItWasAMomentAgo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -92,11 +93,11 @@
 		rest, position := have.Tell(position.Version)
 		c.Assert(rest.Rows, qt.DeepEquals, []store.Row{row("a", 3)})
 		c.Assert(position, qt.Equals, have.Position())
-		// A copy that differs needs the table as it is.
+		// A copy that differs needs the current table.
 		_, position = have.Tell(Anew)
 		c.Assert(position, qt.Equals, have.Position())
 		have.merge([]store.Row{row("a", 4)}, nil, at(4))
-		time.Sleep(wholeLife)
+		time.Sleep(wholeMaxAge)
 		_, position = have.Tell(at(-1))
 		c.Assert(position, qt.Equals, have.Position())
 	})
--- a/internal/watch/relayed.go
+++ b/internal/watch/relayed.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// ErrGap: news do not go on where the copy ends.
+// ErrGap: an update begins after the version of the copy.
 var ErrGap = errors.New("watch: changes are missing between the copy and the news")
 
-// ErrDiffers: the other copy has other rows at the same version.
+// ErrDiffers: the other copy has other rows, or is of another era.
 var ErrDiffers = errors.New("watch: the copies differ")
 
-// Hold makes the table wait for what another node tells (Take, Confirm) instead of asking
-// the store; only a Poke still asks the store, once.
+// Hold stops the table's calls to the store; another node supplies the updates (Take, Confirm). Only
+// a Poke still makes one call to the store.
 func (t *Table) Hold() { t.setRelayed(true) }
 
-// Release makes the table ask the store by itself again, at once.
+// Release makes the table call the store again, beginning at once.
 func (t *Table) Release() {
 	if t.setRelayed(false) {
 		t.Poke()
 	}
 }
 
-// setRelayed reports whether that is a change.
+// setRelayed sets whether another node supplies the updates, and reports whether that changed.
 func (t *Table) setRelayed(relayed bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -31,9 +31,9 @@
 		return false
 	}
 	t.relayed = relayed
-	if t.turn != nil {
-		close(t.turn)
-		t.turn = nil
+	if t.sourceChanged != nil {
+		close(t.sourceChanged)
+		t.sourceChanged = nil
 	}
 	return true
 }
@@ -44,22 +44,22 @@
 	return t.relayed
 }
 
-// awaitTurn waits until the table may ask the store, and reports whether ctx still lasts.
-func (t *Table) awaitTurn(ctx context.Context) bool {
+// awaitDirect waits until the table may call the store. It reports false if ctx has ended.
+func (t *Table) awaitDirect(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		t.mu.Lock()
 		if !t.relayed {
 			t.mu.Unlock()
 			return true
 		}
-		if t.turn == nil {
-			t.turn = make(chan struct{})
+		if t.sourceChanged == nil {
+			t.sourceChanged = make(chan struct{})
 		}
-		turn := t.turn
+		sourceChanged := t.sourceChanged
 		t.mu.Unlock()
 		select {
 		case <-ctx.Done():
-		case <-turn:
+		case <-sourceChanged:
 		case <-t.pokes():
 			return true
 		}
@@ -67,17 +67,18 @@
 	return false
 }
 
-// Take takes in what another node tells of its copy. It fails with ErrGap.
+// Take applies an update from the copy of another node, and drops one older than the copy. It fails
+// with ErrGap.
 func (t *Table) Take(n News) error {
-	t.taking.Lock()
-	defer t.taking.Unlock()
+	t.updateMu.Lock()
+	defer t.updateMu.Unlock()
 	version := t.copy.Position().Version
 	var changed []string
 	switch {
 	case n.Version.Before(version):
 		return nil
 	case n.Whole:
-		t.noteEra(n.Version)
+		t.recordEra(n.Version)
 		changed = t.copy.replace(n.Rows, n.Version)
 	case version.Before(n.Since) || t.copy.Rows() == nil:
 		return ErrGap
@@ -90,14 +91,15 @@
 	return nil
 }
 
-// Heard takes in that the store answered another node at a moment.
-func (t *Table) Heard(at time.Time) { t.answered(at) }
+// Heard records that the store answered another node at the given time.
+func (t *Table) Heard(at time.Time) { t.recordAnswer(at) }
 
-// Compare takes in where the copy of another node is, after all that it told. It fails with
-// ErrDiffers when that copy has other rows.
+// Compare compares the copy with the position of another node's copy, after all its updates were
+// applied, and advances the copy's version to it. It fails with ErrDiffers if that copy has other
+// rows or is of another era.
 func (t *Table) Compare(theirs Position) error {
-	t.taking.Lock()
-	defer t.taking.Unlock()
+	t.updateMu.Lock()
+	defer t.updateMu.Unlock()
 	mine := t.copy.Position()
 	if theirs.Version.Before(mine.Version) {
 		return nil
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -1,9 +1,9 @@
-// Package watch keeps a copy of a table up to date: it reads the table whole,
-// follows its changes, and reads it whole again when changes may have been
-// missed. Instead of asking the store, a copy can be kept by what another node tells of
-// its own one. Versions only rise: an answer older than the copy is dropped. A store that came
-// back from an older copy of itself begins another era, which is newer than all of the last one;
-// what was seen of the last one leads nowhere, so that the table is read whole.
+// Package watch keeps a copy of a table up to date: it reads the whole table, follows
+// its changes, and reads the whole table again when changes may have been missed.
+// Instead of polling the store, a copy can be updated from the copy of another node.
+// Versions only rise: an answer older than the copy is dropped. A store that is restored
+// from an older backup begins another era, which is newer than every version of the last
+// one. Changes do not lead from one era to the next, so the whole table is read then.
 package watch
 
 import (
@@ -19,99 +19,100 @@
 )
 
 const (
-	// ShortWait is how long one call waits for changes of a table that also serves
-	// to notice a store that went silent, or that must be in force in time: near the time
-	// after which a change must be in force once the store is back (3 s). One call may go
-	// silent by itself, while those of all other tables are answered.
+	// ShortWait is how long one call waits for changes of a table whose calls also detect a
+	// store that stopped answering, or whose changes must be in force in time. It is near the
+	// limit within which a change must be in force after the store is back (3 s). A single
+	// call may hang while the calls of all other tables are answered.
 	ShortWait = 3 * time.Second
-	// LongWait is the same for tables that are poked when another one notices.
-	// Each call is paid for.
+	// LongWait is the same for tables that are poked when another table detects a failure or
+	// the return of the store. It is longer because each call is charged for.
 	LongWait = 20 * time.Second
-	// SharedWait is the same where other nodes follow this one: what the store's silence
-	// hides from one node is then hidden from all of them. With it they leave a node that
-	// hears nothing of the store within 2 s, so that a drain or a configuration is in force
-	// within 3 s also then. It costs a followed node 30 calls a minute more.
+	// SharedWait replaces ShortWait while other nodes follow this one: if the store stops
+	// answering this node, its followers get no changes either. With this wait they leave a
+	// node without answers of the store within 2 s, so that a drain or a configuration is in
+	// force within 3 s also then. It costs a followed node 30 more calls per minute.
 	SharedWait = 1200 * time.Millisecond
-	// SharedLongWait is LongWait of a followed node for what must be in force in time: one
-	// call may go silent by itself, and the table that pokes the others need not notice. It
-	// is given up 0.7 s later, within 3 s.
+	// SharedLongWait replaces LongWait on a followed node for tables whose changes must be in
+	// force in time: a single call may hang without the table that pokes the others detecting
+	// it. The call is abandoned 0.7 s after this wait, within 3 s.
 	SharedLongWait = 2 * time.Second
-	// answerSlack is how long beyond its waiting time a call may take.
+	// answerSlack is how long a call may take beyond the time that it waits for changes.
 	answerSlack = 3 * time.Second
-	// firstRetry doubles up to maxRetry while the store does not answer. A
-	// store call takes about 5 ms; many nodes retry at once after an outage.
+	// firstRetry is the pause before the first retry; it doubles up to maxRetry while the store
+	// does not answer. A store call takes about 5 ms; many nodes retry at once after an outage.
 	firstRetry = 100 * time.Millisecond
 	maxRetry   = 700 * time.Millisecond
-	// followRetry is the pause of a table while its lead finds the store away. It only
-	// bounds what a lost poke costs.
+	// followRetry is the retry pause of a table while its Lead finds the store unavailable. The
+	// table is poked when the store is back; this pause only bounds the delay if that poke is lost.
 	followRetry = 10 * time.Second
-	// rereadEvery is the time between two whole reads without any sign of a
-	// missed change: a watch can stay silent although something changed.
+	// rereadEvery is the time between two reads of the whole table without any sign of a missed
+	// change: calls for changes may return none although something changed.
 	rereadEvery = 30 * time.Second
 )
 
-// View is a copy of a table.
+// View is one state of the copy of a table.
 type View struct {
 	Rows map[string]store.Row
-	// Changed are the keys of the rows that differ from the last view: changed, new or gone.
+	// Changed are the keys of the rows that differ from the last view: changed, new or deleted.
 	Changed []string
-	// Version is that of the copy.
+	// Version is the version of the copy.
 	Version store.Version
-	// Regained is when the store last came back after it was away; zero for
-	// never. Rows may be missing shortly after it that their writers restore.
+	// Regained is when the store last became available again after an outage, or was restored
+	// from a backup; zero for never. Shortly after it rows may be missing until their writers
+	// write them again.
 	Regained time.Time
 }
 
-// Table follows one table. It implements suture.Service.
+// Table keeps a copy of one table up to date. It implements suture.Service.
 type Table struct {
-	// Name is the table's name.
+	// Name is the table's name in From.
 	Name string
 	From store.Watchable
 	// Wait is how long one call waits for changes.
 	Wait time.Duration
-	// Pause tells the least time between two calls after a change, so that changes
-	// that come one after the other are taken in together; nil for none.
+	// Pause returns how long to wait after a change before the next call, so that changes in
+	// quick succession are applied together; nil for no wait.
 	Pause func() time.Duration
-	// Apply is called with each new view; it must not change it.
+	// Apply is called with each new view, and must not modify it.
 	Apply func(View)
-	// Contact, when set, is called when the store stops or begins to answer.
+	// Contact, if set, is called when the store stops or resumes answering.
 	Contact func()
-	// Lead, when set, is a table whose calls find out when the store is back and that
-	// pokes this one then. Until then this one asks seldom: an outage must not cost
-	// calls for each table of each node.
+	// Lead, if set, is a table whose calls detect when the store is back; this table is poked
+	// then. Until then this table retries at followRetry: an outage must not cost calls for
+	// each table of each node.
 	Lead *Table
-	// Shared, when set, reports whether other nodes follow this copy: calls wait for
-	// SharedWait then, where that is set.
+	// Shared reports whether other nodes follow this copy. It must be set if SharedWait is. If
+	// it reports true, calls wait for at most SharedWait instead of Wait.
 	Shared     func() bool
 	SharedWait time.Duration
 	Log        *slog.Logger
 
 	mu sync.Mutex
-	// cancel ends the call in progress; poked is closed by Poke, until the next call
-	// takes that in.
+	// cancel ends the call in progress. Poke closes poked; the next call replaces it.
 	cancel context.CancelFunc
 	poked  chan struct{}
-	// waits says that the call in progress waits for changes, renewed that Renew ended it.
+	// waits is set if the call in progress waits for changes, renewed if Renew ended it.
 	waits, renewed bool
-	// relayed is set while another node tells what the store has; turn is closed when
-	// that changes.
-	relayed bool
-	turn    chan struct{}
+	// relayed is set while another node supplies the updates; sourceChanged is closed when that
+	// changes.
+	relayed       bool
+	sourceChanged chan struct{}
 
-	// byPoke says that the last call was made for a poke; only Serve uses it.
-	byPoke bool
+	// forPoke is set if the last call was made for a poke; only Serve and step use it.
+	forPoke bool
 
 	copy Copy
 	lost atomic.Bool
-	// heard is when the store last answered; nil for never, or not since Distrust.
-	heard atomic.Pointer[time.Time]
+	// lastAnswer is when the store last answered; nil for never, or not since Distrust.
+	lastAnswer atomic.Pointer[time.Time]
 
-	// doubt counts the calls of Distrust, sure is how many of them the copy was confirmed after.
-	doubt, sure atomic.Int64
+	// distrusts counts the calls of Distrust. confirmed is the value of that count at the start of the
+	// latest call that confirmed the copy.
+	distrusts, confirmed atomic.Int64
 
-	// taking holds one update of the copy at a time, with its Apply. It guards the
-	// fields below.
-	taking   sync.Mutex
+	// updateMu serializes updates of the copy and the calls of Apply. It guards the fields
+	// below.
+	updateMu sync.Mutex
 	regained time.Time
 	lastRead time.Time
 	// gap is set while changes may be missing from the copy.
@@ -123,48 +124,49 @@
 
 // LastHeard returns when the store last answered; zero for never, or not since Distrust.
 func (t *Table) LastHeard() time.Time {
-	if at := t.heard.Load(); at != nil {
+	if at := t.lastAnswer.Load(); at != nil {
 		return *at
 	}
 	return time.Time{}
 }
 
-// Distrust forgets when the store last answered, as the host stood still meanwhile, and asks
-// the store at once: what comes on calls that were open may be as old.
+// Distrust discards the time of the store's last answer and calls the store at once. It is for a
+// host that was suspended: answers on calls that were open then may be as old as the suspension.
 func (t *Table) Distrust() {
-	t.doubt.Add(1)
-	t.heard.Store(nil)
+	t.distrusts.Add(1)
+	t.lastAnswer.Store(nil)
 	t.Poke()
 }
 
-// Doubt returns what Confirm is given by who began to ask for the copy now.
-func (t *Table) Doubt() int64 { return t.doubt.Load() }
+// Doubt returns the number of calls of Distrust so far. A caller that begins to fetch the copy
+// passes it to Confirm when the fetch is complete.
+func (t *Table) Doubt() int64 { return t.distrusts.Load() }
 
-// Confirm notes that the copy is as the store has it, by an answer that was asked for at a
-// moment of Doubt.
-func (t *Table) Confirm(doubt int64) {
+// Confirm records that the copy matches the store, by an answer to a request that began when Doubt
+// returned distrusts.
+func (t *Table) Confirm(distrusts int64) {
 	for {
-		sure := t.sure.Load()
-		if doubt <= sure || t.sure.CompareAndSwap(sure, doubt) {
+		confirmed := t.confirmed.Load()
+		if distrusts <= confirmed || t.confirmed.CompareAndSwap(confirmed, distrusts) {
 			return
 		}
 	}
 }
 
-// Trusted reports whether the copy was confirmed since Distrust.
-func (t *Table) Trusted() bool { return t.sure.Load() >= t.doubt.Load() }
+// Trusted reports whether the copy was confirmed since the last Distrust.
+func (t *Table) Trusted() bool { return t.confirmed.Load() >= t.distrusts.Load() }
 
-// Connected reports whether the store answers: it did lately, and no call has failed
-// since.
+// Connected reports whether the store answers: the last answer is younger than Wait plus
+// answerSlack, and no call has failed since.
 func (t *Table) Connected() bool {
 	return !t.lost.Load() && time.Since(t.LastHeard()) < t.Wait+answerSlack
 }
 
-// Lost reports whether the store does not answer.
+// Lost reports whether the store has stopped answering.
 func (t *Table) Lost() bool { return t.lost.Load() }
 
-// Poke ends the call or the pause in progress and asks the store at once: another call
-// has shown that the store stopped, or began, to answer.
+// Poke ends the call or the pause in progress and calls the store at once. It is for a caller
+// that found out that the store stopped or resumed answering.
 func (t *Table) Poke() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -179,9 +181,9 @@
 	}
 }
 
-// Renew ends the call in progress if it waits for changes, so that the next one goes out on
-// another connection. Unlike Poke it does not ask for an answer at once, which would be one
-// more call; one that asks at once goes on.
+// Renew ends the call in progress if it waits for changes, so that the next call uses another
+// connection. Unlike Poke it does not add a call that returns at once. A call that does not wait
+// for changes continues.
 func (t *Table) Renew() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -191,14 +193,14 @@
 	}
 }
 
-// setWaits notes whether the call that begins waits for changes.
+// setWaits records whether the call that begins waits for changes.
 func (t *Table) setWaits(waits bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.waits = waits
 }
 
-// wasRenewed reports whether Renew ended the last call, and forgets it.
+// wasRenewed reports whether Renew ended the last call, and resets that.
 func (t *Table) wasRenewed() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -207,6 +209,7 @@
 	return renewed
 }
 
+// closed reports whether c is closed.
 func closed(c <-chan struct{}) bool {
 	select {
 	case <-c:
@@ -216,7 +219,7 @@
 	}
 }
 
-// begin opens the context of one call and takes in a poke.
+// begin creates the context of one call, and reports and resets a pending poke.
 func (t *Table) begin(ctx context.Context) (call context.Context, end func(), poked bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -231,8 +234,8 @@
 	return call, t.cancel, poked
 }
 
-// wasPoked reports whether there was a poke since the last call began.
-func (t *Table) wasPoked() bool { return closed(t.pokes()) }
+// pokePending reports whether there was a poke since the last call began.
+func (t *Table) pokePending() bool { return closed(t.pokes()) }
 
 // pokes returns the channel that the next Poke closes; it is closed if there was one since
 // the last call began.
@@ -248,7 +251,7 @@
 // Serve implements suture.Service.
 func (t *Table) Serve(ctx context.Context) error {
 	retry := firstRetry
-	for t.awaitTurn(ctx) {
+	for t.awaitDirect(ctx) {
 		err := t.step(ctx)
 		if err == nil {
 			retry = firstRetry
@@ -256,24 +259,24 @@
 		}
 		renewed := t.wasRenewed()
 		switch {
-		case t.wasPoked():
-			// That ended the call, which says nothing of the store.
+		case t.pokePending():
+			// The poke ended the call; its error does not mean that the store is unavailable.
 		case renewed:
-			// So did that.
+			// Renew ended the call; its error does not mean that the store is unavailable.
 			continue
 		case errors.Is(err, store.ErrCompacted):
-			t.Log.Info("history of the table is gone, reading it whole", "table", t.Name, "version", t.copy.Position().Version)
-			// The store answered: a long table takes long to read, and who follows this copy would
-			// leave it meanwhile, all to read the table themselves.
-			t.answered(time.Now())
+			t.Log.Info("table history compacted, reading the whole table", "table", t.Name, "version", t.copy.Position().Version)
+			// The store answered. Without this, the followers of this copy would leave while a long
+			// table is read, and would all read it from the store themselves.
+			t.recordAnswer(time.Now())
 			t.setGap()
 		case errors.Is(err, store.ErrStale):
-			t.Log.Info("old read of the table dropped", "table", t.Name, "version", t.copy.Position().Version)
-			t.answered(time.Now())
-		case t.isRelayed() && !t.byPoke:
-			// A call that was begun before; the other node knows better now.
+			t.Log.Info("stale read of the table dropped", "table", t.Name, "version", t.copy.Position().Version)
+			t.recordAnswer(time.Now())
+		case t.isRelayed() && !t.forPoke:
+			// The call began before the table was relayed; the other node supplies newer updates.
 		default:
-			t.away(err)
+			t.recordLoss(err)
 		}
 		t.pause(ctx, retry)
 		retry = min(2*retry, maxRetry)
@@ -281,8 +284,8 @@
 	return ctx.Err()
 }
 
-// pause waits after a call that failed, or for a poke. Half of the time is random, so
-// that nodes don't come back in step.
+// pause waits after a failed call until the retry time or a poke. Half of the time is random,
+// so that nodes do not retry in step.
 func (t *Table) pause(ctx context.Context, retry time.Duration) {
 	if t.Lead != nil && t.Lead.Lost() {
 		retry = followRetry
@@ -296,52 +299,54 @@
 	}
 }
 
-// away notes that the store does not answer.
-func (t *Table) away(err error) {
+// recordLoss records that the store does not answer.
+func (t *Table) recordLoss(err error) {
 	if t.lost.Swap(true) {
 		return
 	}
-	t.contact()
-	t.Log.Warn("store lost", "table", t.Name, "version", t.copy.Position().Version, "err", err)
+	t.notifyContact()
+	t.Log.Warn("store unavailable", "table", t.Name, "version", t.copy.Position().Version, "err", err)
 }
 
+// setGap records that changes may be missing from the copy.
 func (t *Table) setGap() {
-	t.taking.Lock()
-	defer t.taking.Unlock()
+	t.updateMu.Lock()
+	defer t.updateMu.Unlock()
 	t.gap = true
 }
 
+// step makes one call to the store and applies its answer.
 func (t *Table) step(ctx context.Context) error {
 	ctx, end, poked := t.begin(ctx)
 	defer end()
-	doubt := t.Doubt()
-	t.byPoke = poked
-	if t.wantsWhole() {
-		err := t.readWhole(ctx)
+	distrusts := t.Doubt()
+	t.forPoke = poked
+	if t.needsSnapshot() {
+		err := t.readSnapshot(ctx)
 		if err == nil {
-			t.Confirm(doubt)
+			t.Confirm(distrusts)
 		}
 		return err
 	}
-	patience := t.Wait
+	maxWait := t.Wait
 	if t.SharedWait > 0 && t.Shared() {
-		// Counted from the last answer: while changes were gathered nothing was heard either,
-		// and the followers leave a node by how old its word is.
-		patience = max(t.SharedWait-time.Since(t.LastHeard()), 0)
+		// The wait counts from the last answer: no answer came during Pause either, and
+		// followers leave a node by the age of its last answer.
+		maxWait = max(t.SharedWait-time.Since(t.LastHeard()), 0)
 	}
 	if t.lost.Load() || poked {
-		// Hear at once whether the store is back.
-		patience = 0
+		// Ask without waiting, to detect at once whether the store is back.
+		maxWait = 0
 	}
-	t.setWaits(patience > 0)
+	t.setWaits(maxWait > 0)
 	asked := t.copy.Position().Version
-	changes, err := t.From.Changes(ctx, t.Name, asked, patience)
+	changes, err := t.From.Changes(ctx, t.Name, asked, maxWait)
 	if err != nil {
 		return err
 	}
-	t.answered(time.Now())
-	changed := t.takeChanges(asked, changes)
-	t.Confirm(doubt)
+	t.recordAnswer(time.Now())
+	changed := t.applyChanges(asked, changes)
+	t.Confirm(distrusts)
 	if !changed || t.Pause == nil {
 		return nil
 	}
@@ -352,25 +357,25 @@
 	return nil
 }
 
-// wantsWhole reports whether the next call reads the table whole.
-func (t *Table) wantsWhole() bool {
-	t.taking.Lock()
-	defer t.taking.Unlock()
+// needsSnapshot reports whether the next call reads the whole table.
+func (t *Table) needsSnapshot() bool {
+	t.updateMu.Lock()
+	defer t.updateMu.Unlock()
 	return t.gap || time.Since(t.lastRead) > rereadEvery
 }
 
-// takeChanges takes in an answer of the store to a call for what changed after a version, and
-// reports whether anything did.
-func (t *Table) takeChanges(asked store.Version, changes store.Changes) bool {
-	t.taking.Lock()
-	defer t.taking.Unlock()
+// applyChanges applies the store's answer to a call for the changes after version asked. It reports
+// whether the copy changed.
+func (t *Table) applyChanges(asked store.Version, changes store.Changes) bool {
+	t.updateMu.Lock()
+	defer t.updateMu.Unlock()
 	have := t.copy.Position().Version
 	if changes.Version.Before(have) {
 		return false
 	}
 	if !changes.Version.SameEra(asked) {
-		// They begin at a number of another era, also where the copy has moved to this one
-		// meanwhile.
+		// The changes begin at a number of another era, even if the copy has moved to their era
+		// since the call.
 		t.gap = t.gap || !changes.Version.SameEra(have)
 		return false
 	}
@@ -378,7 +383,7 @@
 		t.copy.advance(changes.Version)
 		return false
 	}
-	// A row may have changed more than once.
+	// A row may have changed more than once; the last change counts.
 	last := make(map[string]store.Change, len(changes.Changes))
 	for _, c := range changes.Changes {
 		last[c.Key] = c
@@ -396,42 +401,44 @@
 	return true
 }
 
-// contact tells that the store stopped or began to answer.
-func (t *Table) contact() {
+// notifyContact calls Contact, as the store stopped or resumed answering.
+func (t *Table) notifyContact() {
 	if t.Contact != nil {
 		t.Contact()
 	}
 }
 
-// apply hands the copy on, with the keys that changed. The caller holds t.taking.
+// apply calls Apply with the copy and the changed keys. The caller holds t.updateMu.
 func (t *Table) apply(changed []string) {
 	t.Apply(View{Rows: t.copy.Rows(), Changed: changed, Version: t.copy.Position().Version, Regained: t.regained})
 }
 
-// least is the version before which a whole read does not complete the copy.
-func (t *Table) least() store.Version {
-	t.taking.Lock()
-	defer t.taking.Unlock()
+// minVersion returns the version that a read of the whole table must reach to close a gap; zero if the
+// copy has no gap.
+func (t *Table) minVersion() store.Version {
+	t.updateMu.Lock()
+	defer t.updateMu.Unlock()
 	if !t.gap {
 		return store.Version{}
 	}
 	return t.copy.Position().Version
 }
 
-// readWhole replaces the copy, unless the answer is older than the copy.
-func (t *Table) readWhole(ctx context.Context) error {
-	snap, err := t.From.Snapshot(ctx, t.Name, t.least())
+// readSnapshot reads the whole table and replaces the copy, unless the answer is older than it.
+func (t *Table) readSnapshot(ctx context.Context) error {
+	snap, err := t.From.Snapshot(ctx, t.Name, t.minVersion())
 	if err != nil {
 		return err
 	}
-	t.answered(time.Now())
-	return t.takeWhole(snap)
+	t.recordAnswer(time.Now())
+	return t.applySnapshot(snap)
 }
 
-// takeWhole takes in a whole read.
-func (t *Table) takeWhole(snap store.Snapshot) error {
-	t.taking.Lock()
-	defer t.taking.Unlock()
+// applySnapshot replaces the copy by a read of the whole table. It drops a read older than the copy,
+// and fails with store.ErrStale if the copy has a gap then.
+func (t *Table) applySnapshot(snap store.Snapshot) error {
+	t.updateMu.Lock()
+	defer t.updateMu.Unlock()
 	version := t.copy.Position().Version
 	if snap.Version.Before(version) && t.gap {
 		return store.ErrStale
@@ -441,14 +448,15 @@
 		return nil
 	}
 	t.gap = false
-	t.noteEra(snap.Version)
+	t.recordEra(snap.Version)
 	t.apply(t.copy.replace(snap.Rows, snap.Version))
 	return nil
 }
 
-// noteEra notes a copy of a store that came back from an older one, before it is taken over: as
-// after an outage, rows may be missing that their writers write again. The caller holds t.taking.
-func (t *Table) noteEra(next store.Version) {
+// recordEra records that the store was restored from a backup, if next is of another era than the
+// copy, before the copy is replaced: as after an outage, rows may be missing until their writers
+// write them again. The caller holds t.updateMu.
+func (t *Table) recordEra(next store.Version) {
 	have := t.copy.Position().Version
 	if have.IsZero() || next.SameEra(have) {
 		return
@@ -457,19 +465,19 @@
 	t.Log.Warn("the store came back from a copy", "table", t.Name, "era", next.Era, "version", next.Number, "era_before", have.Era, "version_before", have.Number)
 }
 
-// answered notes that the store answered at a moment.
-func (t *Table) answered(at time.Time) {
+// recordAnswer records that the store answered at the given time.
+func (t *Table) recordAnswer(at time.Time) {
 	for {
-		last := t.heard.Load()
-		if (last != nil && !at.After(*last)) || t.heard.CompareAndSwap(last, &at) {
+		last := t.lastAnswer.Load()
+		if (last != nil && !at.After(*last)) || t.lastAnswer.CompareAndSwap(last, &at) {
 			break
 		}
 	}
 	if t.lost.Swap(false) {
-		t.taking.Lock()
+		t.updateMu.Lock()
 		t.regained = time.Now()
-		t.taking.Unlock()
-		t.contact()
-		t.Log.Info("store regained", "table", t.Name, "version", t.copy.Position().Version)
+		t.updateMu.Unlock()
+		t.notifyContact()
+		t.Log.Info("store available again", "table", t.Name, "version", t.copy.Position().Version)
 	}
 }
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -21,7 +21,7 @@
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// follow follows a table of a store and returns its last view.
+// follow starts a Table that follows a store, and returns a function for its last view.
 func follow(ctx context.Context, from store.Watchable) (last func() View, table *Table) {
 	var mu sync.Mutex
 	var view View
@@ -66,18 +66,18 @@
 	})
 }
 
-// staleReads is a store whose whole reads are old for a while.
+// staleReads is a store whose reads of the whole table return an old snapshot for a while.
 type staleReads struct {
 	store.Watchable
 	old   store.Snapshot
 	until time.Time
 }
 
-func (s *staleReads) Snapshot(ctx context.Context, table string, least store.Version) (store.Snapshot, error) {
+func (s *staleReads) Snapshot(ctx context.Context, table string, minVersion store.Version) (store.Snapshot, error) {
 	if time.Now().Before(s.until) {
 		return s.old, nil
 	}
-	return s.Watchable.Snapshot(ctx, table, least)
+	return s.Watchable.Snapshot(ctx, table, minVersion)
 }
 
 func TestOldReadNeitherRevertsNorHidesChanges(t *testing.T) {
@@ -93,7 +93,7 @@
 		put(t, m, "a", "2")
 		synctest.Wait()
 		s.old, s.until = old, time.Now().Add(40*time.Second)
-		// Through several whole reads.
+		// This spans several reads of the whole table.
 		for i := range 30 {
 			time.Sleep(time.Second)
 			put(t, m, "b", fmt.Sprint(i))
@@ -126,11 +126,11 @@
 	})
 }
 
-// TestOracleViewFollowsTheTable changes a table at random while the store is
-// down, slow or drops its history; once it is well the view is the table.
+// TestOracleViewFollowsTheTable changes a table at random while the store goes
+// down and drops its history; once the store is healthy the view must equal the table.
 //
-// It was seen to fail within its 100 scripts without the whole read after
-// dropped history (gap), and with deletions ignored in merge.
+// It fails within its 100 scripts without the read of the whole table after
+// dropped history (gap), or if merge ignores deletions.
 func TestOracleViewFollowsTheTable(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		type step struct{ what, key string }
@@ -163,7 +163,7 @@
 				}
 			}
 			m.SetFaults(store.Faults{})
-			// A call that waits for changes, a retry and a read.
+			// The time of a call that waits for changes, a retry and a read.
 			time.Sleep(ShortWait + 2*maxRetry)
 			want, err := m.Snapshot(t.Context(), "t", store.Version{})
 			if err != nil {
@@ -182,13 +182,13 @@
 	})
 }
 
-// silent is a store whose calls hang while it is silent.
-type silent struct {
+// hangingStore is a store whose calls for changes hang until a given time.
+type hangingStore struct {
 	store.Watchable
 	until time.Time
 }
 
-func (s *silent) Changes(ctx context.Context, table string, after store.Version, wait time.Duration) (store.Changes, error) {
+func (s *hangingStore) Changes(ctx context.Context, table string, after store.Version, wait time.Duration) (store.Changes, error) {
 	if time.Now().Before(s.until) {
 		<-ctx.Done()
 		return store.Changes{}, store.ErrUnavailable
@@ -200,7 +200,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		m := store.NewMemory()
-		s := &silent{Watchable: m, until: time.Now().Add(10 * time.Second)}
+		s := &hangingStore{Watchable: m, until: time.Now().Add(10 * time.Second)}
 		last, table := follow(t.Context(), s)
 		time.Sleep(11 * time.Second)
 		put(t, m, "a", "1")
@@ -232,8 +232,8 @@
 	})
 }
 
-// refusing is a store that answers each call with an error after a round trip.
-type refusing struct {
+// failingStore is a store that fails each call after a round trip while away is set.
+type failingStore struct {
 	store.Watchable
 	away  atomic.Bool
 	calls atomic.Int64
@@ -241,39 +241,39 @@
 
 var errAway = errors.New("the store is away")
 
-// takeTime is the time of a refused call, which ends with its context as the store client's calls
-// do: time in a bubble stands once its test has returned.
-func takeTime(ctx context.Context) {
+// roundTrip waits for the duration of a failed call. It ends with its context, as the store client's
+// calls do: the clock of a synctest bubble stops once its test has returned.
+func roundTrip(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(time.Millisecond):
 	}
 }
 
-func (r *refusing) Snapshot(ctx context.Context, table string, least store.Version) (store.Snapshot, error) {
+func (r *failingStore) Snapshot(ctx context.Context, table string, minVersion store.Version) (store.Snapshot, error) {
 	if r.calls.Add(1); r.away.Load() {
-		takeTime(ctx)
+		roundTrip(ctx)
 		return store.Snapshot{}, errAway
 	}
-	return r.Watchable.Snapshot(ctx, table, least)
+	return r.Watchable.Snapshot(ctx, table, minVersion)
 }
 
-func (r *refusing) Changes(ctx context.Context, table string, after store.Version, wait time.Duration) (store.Changes, error) {
+func (r *failingStore) Changes(ctx context.Context, table string, after store.Version, wait time.Duration) (store.Changes, error) {
 	if r.calls.Add(1); r.away.Load() {
-		takeTime(ctx)
+		roundTrip(ctx)
 		return store.Changes{}, errAway
 	}
 	return r.Watchable.Changes(ctx, table, after, wait)
 }
 
-// A poke while a whole read was due was never taken in: the table asked again and again
-// without a pause, 200 times a second, as long as the store was away.
+// A poke that is not reset while a read of the whole table is due makes the table call the store
+// without a pause, 200 times a second, as long as the store is unavailable.
 func TestPokesDoNotKeepATableFromPausing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		m := store.NewMemory()
 		put(t, m, "a", "1")
-		s := &refusing{Watchable: m}
+		s := &failingStore{Watchable: m}
 		_, table := follow(t.Context(), s)
 		// A whole read is due at the next step.
 		time.Sleep(rereadEvery + time.Second)
@@ -286,11 +286,11 @@
 	})
 }
 
-// Many pokes cost one call each at the most.
+// Each poke causes at most one call.
 func TestPokeEndsAPauseOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := &refusing{Watchable: store.NewMemory()}
+		s := &failingStore{Watchable: store.NewMemory()}
 		s.away.Store(true)
 		_, table := follow(t.Context(), s)
 		time.Sleep(5 * time.Second)
@@ -305,8 +305,8 @@
 	})
 }
 
-// A table that another node keeps is asked for by a poke, and its calls are renewed in the midst
-// of the answer: the answer is taken in all the same, as nothing else would ask again.
+// Another node supplies a table's updates, a poke starts a call to the store, and Renew comes while the
+// answer is under way: the answer must be applied, as no other call would follow.
 func TestRenewalDoesNotLoseAPoke(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -325,7 +325,7 @@
 	})
 }
 
-// A renewed call is no outage, and asks again without a pause.
+// A call ended by Renew does not count as an outage, and the next call follows without a pause.
 func TestRenewalIsNoOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
