--- a/internal/relay/follower.go
+++ b/internal/relay/follower.go
@@ -15,95 +15,99 @@
 )
 
 const (
-	// acceptTimeout is how long a node may take to tell something first: a connection and
-	// its handshake take 3 round trips of 1 to 3 ms, and a busy node some tens of ms.
+	// acceptTimeout is how long a node may take until its first message: a connection and its
+	// handshake take 3 round trips of 1 to 3 ms, and a busy node some tens of ms.
 	acceptTimeout = 400 * time.Millisecond
-	// silence is how long a node may say nothing after that: it says something each beat,
-	// and a slow host may miss one.
-	silence = 2*beat + 300*time.Millisecond
-	// copyPatience is how long a node may have no copy to tell of. After a start of all
-	// nodes it reads 60 pages of 5 ms for 3,000 targets.
-	copyPatience = 1500 * time.Millisecond
-	// maxAge is how long ago the store may have answered the node: it asks each
-	// watch.SharedWait, and its client gives a call up 0.7 s after that.
+	// silenceTimeout is how long a node may send no message after that: it sends one every
+	// heartbeat, and a slow host may miss one.
+	silenceTimeout = 2*heartbeat + 300*time.Millisecond
+	// emptyTimeout is how long a node may have no copy to send. After a start of all nodes it
+	// reads 60 pages of 5 ms for 3,000 targets.
+	emptyTimeout = 1500 * time.Millisecond
+	// maxAge is the greatest allowed age of the store's last answer to the node: its calls wait
+	// for watch.SharedWait, and its client abandons a call 0.7 s after that.
 	maxAge = watch.SharedWait + time.Second
-	// behindPatience is how long its copy may be older than the own one: it gathers changes
-	// for up to 0.8 s.
-	behindPatience = 1500 * time.Millisecond
-	// repeatPause is how seldom a node is asked again at once because its news did not fit
-	// the own copy; one that never fit would otherwise be asked without an end.
-	repeatPause = 5 * time.Second
-	// firstPass is how long a node that was left is not asked again; it doubles up to
-	// maxPass while that goes on.
-	firstPass = 2 * time.Second
-	maxPass   = 30 * time.Second
-	// lookAgain is how often the choice is looked at.
-	lookAgain = time.Second
-	// probePause is how often, half of it random, a node asks a store by itself that
-	// answers neither it nor the node that it follows: that node may have been turned away
-	// alone, and this one is to be back within 3 s.
-	probePause = 2 * time.Second
-	// askPatience is how long the store may take to answer this node, before it counts as
-	// one that no other asks for.
-	askPatience = 800 * time.Millisecond
-	// startPatience is how long the tables are held at a start for the list of nodes: nodes that
-	// never ran before enter themselves, and wait for each other, first.
-	startPatience = 4 * time.Second
-	// startGrace is how long a node without a copy goes on looking for one that has some:
-	// where all nodes start at once the first in order may be up some 100 ms later.
+	// behindTimeout is how long its copy may be older than that of the follower: it gathers
+	// changes for up to 0.8 s.
+	behindTimeout = 1500 * time.Millisecond
+	// repeatInterval is the least time between two immediate retries at a node because its
+	// update did not fit the follower's copy; a node whose updates never fit would otherwise be
+	// called in an endless loop.
+	repeatInterval = 5 * time.Second
+	// minSkip is how long a node is skipped after it was left; it doubles up to maxSkip each time
+	// the node is left again without having been followed.
+	minSkip = 2 * time.Second
+	maxSkip = 30 * time.Second
+	// recheckInterval is the interval between evaluations of the choice of the node to follow.
+	recheckInterval = time.Second
+	// probeInterval is the longest time, half of it random, between two calls of a node to a
+	// store that answers neither it nor the node that it follows: the store may refuse only
+	// that node, and this one must have the store again within 3 s.
+	probeInterval = 2 * time.Second
+	// ownAnswerTimeout is how long the store may take to answer this node's own call while the
+	// node that it follows gets no answer; after it this node leaves that node.
+	ownAnswerTimeout = 800 * time.Millisecond
+	// listTimeout is how long a starting node waits for the list of nodes, with its tables held,
+	// after the store's first answer: nodes that never ran before first add themselves to the
+	// list, and wait for each other.
+	listTimeout = 4 * time.Second
+	// startGrace is how long a node without a copy keeps trying other nodes before it reads the
+	// store: if all nodes start at once, the first in rank order may be up some 100 ms later.
 	startGrace = 800 * time.Millisecond
-	// startPass is firstPass in that time.
-	startPass = 150 * time.Millisecond
+	// startSkip is how long a node is skipped during that time.
+	startSkip = 150 * time.Millisecond
 )
 
-// Follower keeps this node's tables by what other nodes tell, or lets the tables ask the
-// store. It implements suture.Service.
+// Follower updates this node's tables from another node, or lets the tables poll the store. It
+// implements suture.Service.
 type Follower struct {
+	// Self is the name of this node, DataCentre the name of its data centre.
 	Self, DataCentre string
-	// Nodes lists the nodes of the data centre that can be followed. Known is closed when they can
-	// be chosen from and asked.
+	// Nodes lists the nodes of the data centre that can be followed. Known is closed when that
+	// list is known and the nodes can be called.
 	Nodes func() []Node
 	Known <-chan struct{}
-	// Answered is closed when the store answered this process for the first time.
+	// Answered is closed when the store has answered this process for the first time.
 	Answered <-chan struct{}
 	Remote   Remote
-	// Tables are kept; the first one's calls find out whether the store answers.
+	// Tables are the tables to update; the calls of the first determine whether the store answers.
 	Tables []*watch.Table
 	Teller *Teller
 	Log    *slog.Logger
 
-	// following is set while the tables are kept by what another node tells.
+	// following is set while another node supplies the updates of the tables.
 	following atomic.Bool
 
-	// leaving ends the call at the node that is followed.
+	// mu guards leaving, which ends the call to the node that is followed; nil if there is none.
 	mu      sync.Mutex
 	leaving context.CancelCauseFunc
 
-	passed map[string]passed
-	// teller is the node that is followed, selfFollows for none; "" while that is open.
+	skipped map[string]skipped
+	// teller is the name of the node that is followed, selfFollows if the tables poll the store,
+	// and empty while neither is decided.
 	teller string
-	// whole asks for whole tables next, as the copies differed.
+	// whole is set if the next call requests whole tables, as the copies differed.
 	whole bool
-	// repeated is when a node was last asked again as its news did not fit.
+	// repeated is when a node was last called again at once because its update did not fit.
 	repeated time.Time
-	// graceEnds is when a node without a copy reads the store by itself.
+	// graceEnds is when startGrace ends.
 	graceEnds time.Time
 }
 
-// passed is a node that is not asked for a while.
-type passed struct {
+// skipped is the state of a node that is skipped for a while.
+type skipped struct {
 	until time.Time
 	pause time.Duration
-	// away says that it was left because the store did not answer it.
+	// away is set if the node was left because the store did not answer it.
 	away bool
 }
 
-// Alone reports whether the tables ask the store by themselves.
+// Alone reports whether the tables poll the store.
 func (f *Follower) Alone() bool { return !f.following.Load() }
 
 // Serve implements suture.Service.
 func (f *Follower) Serve(ctx context.Context) error {
-	f.passed = make(map[string]passed)
+	f.skipped = make(map[string]skipped)
 	f.awaitKnown(ctx)
 	f.graceEnds = time.Now().Add(startGrace)
 	for ctx.Err() == nil {
@@ -111,21 +115,22 @@
 		switch {
 		case ok:
 			f.leave(n, f.follow(ctx, n))
-		case f.starting() && len(f.passed) > 0:
-			f.pause(ctx, startPass/2)
+		case f.starting() && len(f.skipped) > 0:
+			f.pause(ctx, startSkip/2)
 		default:
-			f.alone(ctx)
+			f.pollStore(ctx)
 		}
 	}
 	return ctx.Err()
 }
 
-// starting reports whether this node has no copy yet and may still wait for another's.
+// starting reports whether this node has no copy yet and startGrace has not ended.
 func (f *Follower) starting() bool { return f.empty() && time.Now().Before(f.graceEnds) }
 
+// empty reports whether this node has no copy of the first table yet.
 func (f *Follower) empty() bool { return f.Tables[0].Copy().Rows() == nil }
 
-// pause waits for about d.
+// pause waits for a random time between d/2 and 3d/2.
 func (f *Follower) pause(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d/2 + rand.N(d))
 	defer timer.Stop()
@@ -135,14 +140,14 @@
 	}
 }
 
-// awaitKnown waits until other nodes can be followed: for the store's first answer as long as
-// it takes, since without one the tables cannot be read either, and then not for long.
+// awaitKnown waits until other nodes can be followed. It waits for the store's first answer without a
+// limit, since the tables cannot be read without one either, and then for Known up to listTimeout.
 func (f *Follower) awaitKnown(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-f.Answered:
 	}
-	timer := time.NewTimer(startPatience)
+	timer := time.NewTimer(listTimeout)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -151,49 +156,50 @@
 	}
 }
 
-// choose applies Choose to what is known now.
+// choose calls Choose with the current state.
 func (f *Follower) choose() (Node, bool) {
 	now := time.Now()
 	st := Standing{
 		Self: f.Self, Ranked: Rank(f.DataCentre, f.Nodes()), Followed: f.Teller.Followers() > 0, Lost: f.Tables[0].Lost(),
 		Passed: make(map[string]bool), Away: make(map[string]bool),
 	}
-	for name, p := range f.passed {
+	for name, p := range f.skipped {
 		st.Passed[name] = now.Before(p.until)
 		st.Away[name] = p.away
 	}
 	return Choose(st)
 }
 
-// alone lets the tables ask the store for a while.
-func (f *Follower) alone(ctx context.Context) {
+// pollStore lets the tables poll the store for about recheckInterval, and skips this node in the
+// choice if the store does not answer it.
+func (f *Follower) pollStore(ctx context.Context) {
 	if f.teller != selfFollows {
 		f.teller = selfFollows
 		f.Log.Info("following the store by itself", "data_centre_nodes", len(f.Nodes()), "followers", f.Teller.Followers())
 	}
 	f.release()
-	f.pause(ctx, lookAgain)
+	f.pause(ctx, recheckInterval)
 	if f.Tables[0].Lost() {
-		f.pass(f.Self, true)
+		f.skip(f.Self, true)
 		return
 	}
-	delete(f.passed, f.Self)
+	delete(f.skipped, f.Self)
 }
 
-// pass keeps a node from being asked for a while and returns how long.
-func (f *Follower) pass(name string, away bool) time.Duration {
-	p := f.passed[name]
-	p.pause = min(max(2*p.pause, firstPass), maxPass)
+// skip skips a node for a while and returns for how long.
+func (f *Follower) skip(name string, away bool) time.Duration {
+	p := f.skipped[name]
+	p.pause = min(max(2*p.pause, minSkip), maxSkip)
 	if f.starting() {
-		p.pause = startPass
+		p.pause = startSkip
 	}
 	p.until = time.Now().Add(p.pause)
 	p.away = away
-	f.passed[name] = p
+	f.skipped[name] = p
 	return p.pause
 }
 
-// release lets the tables ask the store.
+// release makes the tables poll the store.
 func (f *Follower) release() {
 	f.following.Store(false)
 	for _, t := range f.Tables {
@@ -201,43 +207,43 @@
 	}
 }
 
-// selfFollows stands for no teller.
+// selfFollows is the value of Follower.teller if the tables poll the store.
 const selfFollows = "(none)"
 
-// leave notes why a node was left.
+// leave skips a node after its call ended with err, unless it is to be called again at once.
 func (f *Follower) leave(n Node, err error) {
 	again := errors.Is(err, watch.ErrGap) || errors.Is(err, watch.ErrDiffers)
-	if errors.Is(err, errMoved) || again && time.Since(f.repeated) > repeatPause {
+	if errors.Is(err, errMoved) || again && time.Since(f.repeated) > repeatInterval {
 		if again {
 			f.repeated = time.Now()
 		}
-		f.Log.Info("asking again what the store has", "peer", n.Name, "err", err)
+		f.Log.Info("call to the followed node ended, choosing again", "peer", n.Name, "err", err)
 		return
 	}
-	pause := f.pass(n.Name, errors.Is(err, ErrAway))
+	pause := f.skip(n.Name, errors.Is(err, ErrAway))
 	f.teller = ""
-	f.Log.Warn("node does not tell what the store has, leaving it", "peer", n.Name, "addr", n.Addr, "for_ms", pause.Milliseconds(), "err", err)
+	f.Log.Warn("following a node failed, skipping it", "peer", n.Name, "addr", n.Addr, "for_ms", pause.Milliseconds(), "err", err)
 }
 
-// session is one call at a node that is followed.
+// session is one call to a node that is followed.
 type session struct {
 	f    *Follower
 	node Node
-	// began is the start of the call, told the first message with a copy.
+	// began is when the call began; told is set after the first message that is usable.
 	began time.Time
 	told  bool
-	// behind is since when the node's copy has been older than the own one.
+	// behind is since when the node's copy has been older than that of this node; zero if it is not.
 	behind time.Time
-	// asked is when the store was last asked by itself as the node does not reach it, probe
-	// when it is next.
+	// asked is when this node last called the store itself because the store does not answer the
+	// other node; probe is the earliest time of the next such call.
 	asked, probe time.Time
-	// looked is when the choice was last looked at.
+	// looked is when the choice of the node to follow was last evaluated.
 	looked time.Time
-	// doubts are those of the tables when the call began.
+	// doubts are the values of Doubt of the tables when the call began.
 	doubts []int64
 }
 
-// follow keeps the tables by what a node tells until it is to be left.
+// follow updates the tables from a node until the call ends, and returns why it ended.
 func (f *Follower) follow(ctx context.Context, n Node) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -248,8 +254,8 @@
 	now := time.Now()
 	s := &session{f: f, node: n, began: now, looked: now, doubts: f.doubts()}
 	err := f.Remote.Follow(ctx, n.Addr, f.have(), func(t Told) error {
-		watchdog.Reset(silence)
-		return s.take(t, time.Now())
+		watchdog.Reset(silenceTimeout)
+		return s.handle(t, time.Now())
 	})
 	if errors.Is(context.Cause(ctx), ErrSilent) {
 		return ErrSilent
@@ -269,8 +275,8 @@
 	f.leaving = cancel
 }
 
-// Renew ends the call at the node that is followed, so that a new one begins: the host stood
-// still, and what comes on the old one may be as old.
+// Renew ends the call to the node that is followed, so that a new one begins. It is for a host that
+// was suspended: messages on the old call may be as old as the suspension.
 func (f *Follower) Renew() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -279,7 +285,7 @@
 	}
 }
 
-// have is how far the tables are.
+// have returns the versions to request updates from.
 func (f *Follower) have() []Have {
 	out := make([]Have, len(f.Tables))
 	for i, t := range f.Tables {
@@ -295,7 +301,7 @@
 	return out
 }
 
-// doubts returns those of the tables.
+// doubts returns the values of Doubt of the tables.
 func (f *Follower) doubts() []int64 {
 	out := make([]int64, len(f.Tables))
 	for i, t := range f.Tables {
@@ -304,9 +310,9 @@
 	return out
 }
 
-// take takes one message in; its error is why the node is left.
-func (s *session) take(t Told, now time.Time) error {
-	if now.Sub(s.looked) > lookAgain {
+// handle applies one message; an error ends the call and is the reason to leave the node.
+func (s *session) handle(t Told, now time.Time) error {
+	if now.Sub(s.looked) > recheckInterval {
 		s.looked = now
 		if n, ok := s.f.choose(); !ok || n.Name != s.node.Name {
 			return errMoved
@@ -316,41 +322,44 @@
 		return ErrEmpty
 	}
 	if !t.Tables[0].Position.Version.IsZero() && !t.Away && t.Age <= maxAge {
-		// Before the rows: some may be missing shortly after the store's return.
-		s.heard(now.Add(-t.Age))
+		// This precedes the rows, so that their views have the time of the store's return: some rows
+		// may be missing shortly after it.
+		s.recordAnswer(now.Add(-t.Age))
 	}
-	// What is told once is not told again, so that it is taken in any case.
-	if err := s.copy(t); err != nil {
+	// An update is sent only once, so it is applied in any case.
+	if err := s.applyTables(t); err != nil {
 		return err
 	}
 	if t.Tables[0].Position.Version.IsZero() {
-		return s.empty(now)
+		return s.checkEmpty(now)
 	}
 	if t.Away || t.Age > maxAge {
-		return s.away(now)
+		return s.handleAway(now)
 	}
 	if !s.told {
 		s.told = true
-		s.f.begin(s.node)
+		s.f.recordFollowed(s.node)
 	}
 	s.f.hold()
 	for i, table := range s.f.Tables {
 		table.Confirm(s.doubts[i])
 	}
-	return s.keepsUp(t, now)
+	return s.checkBehind(t, now)
 }
 
-// heard notes that the store answered the node at a moment.
-func (s *session) heard(at time.Time) {
+// recordAnswer records in the tables that the store answered the node at the given time.
+func (s *session) recordAnswer(at time.Time) {
 	for _, table := range s.f.Tables {
 		table.Heard(at)
 	}
 }
 
-// away decides what to do while the store does not answer the node: ask the store once; leave
-// the node if the store answers this one, else let it find out for both when the store is
-// back. An outage costs a node that follows one call, and one each probePause.
-func (s *session) away(now time.Time) error {
+// handleAway decides what to do while the store does not answer the node. A node that ranks behind
+// this one is left at once. Otherwise this node calls the store once, and leaves the other node if the
+// store answers the call, or if ownAnswerTimeout passes without the call failing. If the call fails,
+// this node stays, so that the other one detects for both when the store is back. So an outage costs
+// a follower one call, and one more each probeInterval.
+func (s *session) handleAway(now time.Time) error {
 	lead := s.f.Tables[0]
 	if s.f.ranksBefore(s.node.Name) {
 		return ErrAway
@@ -359,16 +368,16 @@
 	switch {
 	case s.asked.IsZero(), lead.Lost() && now.After(s.probe):
 		s.asked = now
-		s.probe = now.Add(probePause/2 + rand.N(probePause))
+		s.probe = now.Add(probeInterval/2 + rand.N(probeInterval))
 		lead.Poke()
 	case lead.Lost():
-	case lead.LastHeard().After(s.asked), now.Sub(s.asked) > askPatience:
+	case lead.LastHeard().After(s.asked), now.Sub(s.asked) > ownAnswerTimeout:
 		return ErrAway
 	}
 	return nil
 }
 
-// ranksBefore reports whether self comes before another node in the order.
+// ranksBefore reports whether self is ranked before another node.
 func (f *Follower) ranksBefore(other string) bool {
 	for _, n := range Rank(f.DataCentre, f.Nodes()) {
 		if n.Name == f.Self || n.Name == other {
@@ -378,16 +387,16 @@
 	return false
 }
 
-// empty decides how long to wait for a node that has no copy yet.
-func (s *session) empty(now time.Time) error {
-	if now.Sub(s.began) > copyPatience {
+// checkEmpty fails with ErrEmpty if the node has had no copy for more than emptyTimeout.
+func (s *session) checkEmpty(now time.Time) error {
+	if now.Sub(s.began) > emptyTimeout {
 		return ErrEmpty
 	}
 	return nil
 }
 
-// copy takes the node's copy over.
-func (s *session) copy(t Told) error {
+// applyTables applies the updates of all tables, and compares the copies with the node's.
+func (s *session) applyTables(t Told) error {
 	for i, table := range s.f.Tables {
 		theirs := t.Tables[i]
 		if theirs.Position.Version.IsZero() {
@@ -405,10 +414,10 @@
 	return nil
 }
 
-// keepsUp fails when the node's copy has long been older than the own one. Only the first
-// table tells: the version of a copy rises with each answer of the store, and the others'
-// calls wait long for one.
-func (s *session) keepsUp(t Told, now time.Time) error {
+// checkBehind fails with ErrBehind if the node's copy has been older than that of this node for more
+// than behindTimeout. It compares only the first table: the version of a copy rises with each answer
+// of the store, and the calls of the other tables wait long for one.
+func (s *session) checkBehind(t Told, now time.Time) error {
 	if !t.Tables[0].Position.Version.Before(s.f.Tables[0].Copy().Position().Version) {
 		s.behind = time.Time{}
 		return nil
@@ -416,15 +425,15 @@
 	if s.behind.IsZero() {
 		s.behind = now
 	}
-	if now.Sub(s.behind) > behindPatience {
+	if now.Sub(s.behind) > behindTimeout {
 		return ErrBehind
 	}
 	return nil
 }
 
-// begin notes that a node is followed.
-func (f *Follower) begin(n Node) {
-	delete(f.passed, n.Name)
+// recordFollowed records that a node is followed now.
+func (f *Follower) recordFollowed(n Node) {
+	delete(f.skipped, n.Name)
 	if f.teller == n.Name {
 		return
 	}
@@ -432,7 +441,7 @@
 	f.Log.Info("following the store through another node", "peer", n.Name, "addr", n.Addr)
 }
 
-// hold keeps the tables from asking the store.
+// hold stops the tables from polling the store.
 func (f *Follower) hold() {
 	f.following.Store(true)
 	for _, t := range f.Tables {
--- a/internal/relay/follower_test.go
+++ b/internal/relay/follower_test.go
@@ -15,12 +15,12 @@
 	"topazmoor/internal/watch"
 )
 
-// scripted is a Remote that says the same again and again, by address. It implements Remote.
+// scripted is a Remote whose nodes, by address, each send the same message every heartbeat.
 type scripted struct {
 	mu sync.Mutex
-	// says has what each node says; silent nodes have nothing.
+	// says has the message of each node by address; a node that sends none has no entry.
 	says map[string]Told
-	// asked are the questions in order.
+	// asked are the calls of Follow in order.
 	asked []question
 }
 
@@ -45,7 +45,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(beat):
+		case <-time.After(heartbeat):
 		}
 	}
 }
@@ -56,7 +56,7 @@
 	s.says[addr] = t
 }
 
-// askedAt returns how often a node was asked.
+// askedAt returns how often the node at addr was called.
 func (s *scripted) askedAt(addr string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +69,7 @@
 	return n
 }
 
-// tellerWith is what a node with a copy at a version says of one table.
+// tellerWith returns the message of a node whose copy of one table is at a version.
 func tellerWith(version int64, age time.Duration) Told {
 	at := store.Version{Number: version}
 	row := store.Row{Key: "a", Version: at}
@@ -82,7 +82,7 @@
 	return Told{Age: age, Tables: []TableTold{{Position: copied.Copy().Position(), News: news}}}
 }
 
-// following plays a follower, the last of four nodes, for a while.
+// following runs a follower, the last in rank order of four nodes, while f runs.
 func following(t *testing.T, says map[string]Told, f func(r *scripted, table *watch.Table, ranked []Node)) {
 	synctest.Test(t, func(t *testing.T) {
 		quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -122,7 +122,7 @@
 		t.Run(name, func(t *testing.T) {
 			says := map[string]Told{"0": told, "1": tellerWith(5, 0)}
 			following(t, says, func(r *scripted, table *watch.Table, ranked []Node) {
-				time.Sleep(copyPatience + acceptTimeout + beat)
+				time.Sleep(emptyTimeout + acceptTimeout + heartbeat)
 				qt.Check(t, r.askedAt(ranked[1].Addr) > 0, qt.IsTrue)
 				qt.Check(t, table.Connected(), qt.IsTrue)
 			})
@@ -136,12 +136,12 @@
 		time.Sleep(time.Second)
 		qt.Assert(t, table.Copy().Position().Version.Number, qt.Equals, int64(9))
 		r.set(ranked[0].Addr, tellerWith(7, 0))
-		time.Sleep(behindPatience + 2*beat)
+		time.Sleep(behindTimeout + 2*heartbeat)
 		qt.Assert(t, table.Copy().Position().Version.Number, qt.Equals, int64(20))
 	})
 }
 
-// A teller whose copy never fits is asked again at once once, not without an end.
+// A teller whose copy never fits is called again at once only once, not in an endless loop.
 func TestFollowerDoesNotAskAgainWithoutAnEnd(t *testing.T) {
 	wrong := tellerWith(9, 0)
 	wrong.Tables[0].Position.Sum++
@@ -152,10 +152,10 @@
 	})
 }
 
-// Where nobody tells, the store is asked after the accept times of those asked.
+// If no node answers, the follower reads the store after startGrace and the accept timeouts.
 func TestFollowerAsksTheStoreWhereNobodyTells(t *testing.T) {
 	following(t, nil, func(r *scripted, table *watch.Table, _ []Node) {
-		time.Sleep(startGrace + 3*acceptTimeout + lookAgain)
+		time.Sleep(startGrace + 3*acceptTimeout + recheckInterval)
 		qt.Check(t, table.Copy().Rows() != nil, qt.IsTrue)
 		qt.Check(t, table.Connected(), qt.IsTrue)
 	})
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,9 +1,10 @@
 // Package relay lets the nodes of a data centre follow the store through a few of them, so
-// that calls and bytes at the store do not grow with the nodes. Every node can tell others
-// what it has, and whoever is followed asks the store by itself; nobody is elected, and
-// nothing is agreed on. The store stays the only truth: what is told are rows with the
-// store's versions, a copy never goes back, and a node whose teller is silent, slow, behind
-// or without the store leaves it and asks the store. Source: docs/design/015-relays.md.
+// that calls and bytes at the store do not grow with the number of nodes. Every node can send
+// its copies of tables to others, and a node that is followed polls the store itself. There is
+// no election and no consensus. The store stays the only source of truth: messages carry rows
+// with the store's versions, and the version of a copy never falls. A node leaves a teller that
+// is silent, slow, behind or cut off from the store, and polls the store itself. Source:
+// docs/design/015-relays.md.
 package relay
 
 import (
@@ -19,78 +20,78 @@
 	"topazmoor/internal/watch"
 )
 
-// Node is a node that may tell others what it has of the store.
+// Node is a node that other nodes may follow.
 type Node struct {
-	// Name is unique, Addr is where the node takes calls.
+	// Name is unique, Addr is the address at which the node accepts calls.
 	Name, Addr string
-	// Memory is the process's limit in bytes; 0 for none. Nodes with more are asked first:
-	// hosts with more memory have more of the rest.
+	// Memory is the memory limit of the process in bytes; 0 for none. Nodes with a higher limit
+	// are preferred: hosts with more memory also have more of the other resources.
 	Memory int64
 }
 
-// Have is how far the asking node's copy of a table is; Nothing asks for the whole table.
+// Have is the version of a table that the requesting node has; Nothing requests the whole table.
 type Have struct {
 	Table   string
 	Version store.Version
 }
 
-// Nothing is the version of a copy that lacks all rows.
+// Nothing is the version of a copy that has not been read yet.
 var Nothing = store.Version{Number: -1}
 
-// Told is one message of a node that is followed.
+// Told is one message from a node that is followed to a follower.
 type Told struct {
-	// Away says that the store does not answer that node.
+	// Away is set if the store does not answer the sending node.
 	Away bool
-	// Age is how long ago the store last answered it.
+	// Age is the time since the store last answered the sending node; 0 also if it never did.
 	Age time.Duration
-	// Tables has an entry for each table asked for, in the order of the question.
+	// Tables has an entry for each requested table, in the order of the request.
 	Tables []TableTold
 }
 
-// TableTold is what a message tells of one table.
+// TableTold is the part of a message for one table.
 type TableTold struct {
-	// Position is where the teller's copy is. Everything up to there was told.
+	// Position is that of the sender's copy. All changes up to it have been sent.
 	Position watch.Position
-	// News is what the asker lacks; nil for nothing.
+	// News is the update for the follower; nil if it lacks nothing.
 	News *watch.News
 }
 
-// Remote asks other nodes; package peer has the real one.
+// Remote makes calls to other nodes; package peer implements it.
 type Remote interface {
-	// Follow asks the node at addr for what the asker lacks of some tables, and for all that
-	// changes. told is called with each message, one at a time; its error ends the call.
+	// Follow requests from the node at addr what the caller lacks of some tables, and all later
+	// changes. It calls told with each message, one at a time; an error of told ends the call.
 	Follow(ctx context.Context, addr string, have []Have, told func(Told) error) error
 }
 
-// Reasons to leave a node. Follow of a Remote returns other errors too.
+// Reasons to leave a node. Follow of a Remote also returns other errors.
 var (
-	// ErrSilent: the node said nothing for too long. It is the cause of the call's end.
-	ErrSilent = errors.New("relay: the node fell silent")
+	// ErrSilent: the node sent no message for too long. It is the cancellation cause of the call.
+	ErrSilent = errors.New("relay: the node stopped sending messages")
 	// ErrAway: the store does not answer the node.
-	ErrAway = errors.New("relay: the node does not reach the store")
-	// ErrEmpty: the node itself has no copy.
+	ErrAway = errors.New("relay: the store does not answer the node")
+	// ErrEmpty: the node has no copy, or sends another number of tables than requested.
 	ErrEmpty = errors.New("relay: the node has no copy")
-	// ErrBehind: the node's copy is older than the own one.
+	// ErrBehind: the node's copy has been older than the follower's for too long.
 	ErrBehind = errors.New("relay: the node's copy is behind")
-	// ErrStopping: the node is about to end.
+	// ErrStopping: the node is shutting down.
 	ErrStopping = errors.New("relay: the node is stopping")
-	// errMoved: another node is to be followed, or none.
-	errMoved = errors.New("relay: the choice changed")
+	// errMoved: another node or none is to be followed, or the call is to be renewed.
+	errMoved = errors.New("relay: the node to follow changed or the call was renewed")
 )
 
-// Fewest is the least number of nodes of a data centre that follow through one of them. Worked
-// out from the waits of package watch, a followed node makes 1.33 calls a second (targets and
-// configuration), one that follows by itself 0.38: with two nodes relays cost 0.57 calls a
-// second, with three 0.18, with four they save 0.2. Three pay that for being told by each other
-// where the store turns one of them away.
+// Fewest is the least number of nodes in a data centre at which relays are used. By the waits of
+// package watch, a followed node makes 1.33 calls per second to the store (targets and
+// configuration), and a node that polls the store itself 0.38. So with two nodes relays cost 0.57
+// calls per second more, with three 0.18 more, and with four they save 0.2. With three nodes that
+// cost is accepted, since a node that the store refuses can then get updates from another one.
 const Fewest = 3
 
-// depth is how far down the order nodes are asked before the store is: where the first ones
-// are lost for good, the next are followed. Each try may take acceptTimeout.
-const depth = 4
+// maxCandidates is how many nodes, in rank order, are tried before the node polls the store itself:
+// if the first ones are lost for good, the next are followed. Each try may take acceptTimeout.
+const maxCandidates = 4
 
-// Rank sorts the nodes of a data centre, self included, into the order in which they are
-// asked. All nodes that know the same ones agree on it.
+// Rank sorts the nodes of a data centre, including this one, into the order in which they are
+// tried. Nodes with the same list of nodes get the same order.
 func Rank(dataCentre string, nodes []Node) []Node {
 	key := xxhash.Sum64String(dataCentre)
 	out := slices.Clone(nodes)
@@ -109,32 +110,34 @@
 	return out
 }
 
-// Standing is what a node knows when it chooses whom to follow.
+// Standing is the input of Choose: the state of the choosing node and its view of the others.
 type Standing struct {
+	// Self is the name of the choosing node.
 	Self string
-	// Ranked are the nodes of the data centre in order, self included.
+	// Ranked are the nodes of the data centre in the order of Rank, self included.
 	Ranked []Node
-	// Followed says that other nodes follow self.
+	// Followed is set if other nodes follow self.
 	Followed bool
-	// Lost says that the store does not answer self.
+	// Lost is set if the store does not answer self.
 	Lost bool
-	// Passed are the nodes that are not to be asked now. Away are those of them, or others,
-	// that the store does not answer. Self is among Passed when it had better be told.
+	// Passed are the nodes that are skipped now. Away are the nodes, skipped or not, that the
+	// store did not answer when they were last left. Self is in Passed if it should rather
+	// follow another node than poll the store.
 	Passed, Away map[string]bool
 }
 
-// Choose returns the node to follow; ok is false where self asks the store by itself.
+// Choose returns the node to follow; ok is false if self is to poll the store itself.
 //
-// A node that is followed always asks the store: two nodes that follow each other could
-// otherwise confirm to each other what neither has seen. A node that the store turns away is
-// told by any other one that the store answers. Where the store answers nobody, those
-// behind the first in order let that one find out when it is back.
+// A node that is followed always polls the store: otherwise two nodes that follow each other could
+// confirm a state to each other that neither has read from the store. A node that the store refuses
+// may follow any other node that the store answers. If the store answers no node, the nodes ranked
+// behind the first one follow it, and that one detects when the store is back.
 func Choose(s Standing) (teller Node, ok bool) {
 	if s.Followed || len(s.Ranked) < Fewest {
 		return Node{}, false
 	}
 	behind := false
-	for _, n := range s.Ranked[:min(len(s.Ranked), depth)] {
+	for _, n := range s.Ranked[:min(len(s.Ranked), maxCandidates)] {
 		switch {
 		case n.Name == s.Self && !s.Passed[s.Self]:
 			return Node{}, false
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -11,7 +11,7 @@
 	_ "topazmoor/internal/standin/fixedseed"
 )
 
-// dataCentre returns n nodes.
+// dataCentre returns n nodes of one data centre.
 func dataCentre(n int) []Node {
 	var out []Node
 	for i := range n {
@@ -67,12 +67,12 @@
 	qt.Assert(t, ok, qt.IsFalse)
 }
 
-// TestOracleWhereTheStoreAnswersNobodySomebodyAsks: whatever nodes believe of each other
-// after an outage, the choices hold no ring of nodes that all wait for each other, so that
-// the return of the store is found out by somebody everybody hears of, or by everybody.
+// TestOracleWhereTheStoreAnswersNobodySomebodyAsks: whatever state nodes have recorded of each
+// other in an outage, their choices must form no cycle of nodes that all follow each other.
+// Otherwise no node of the cycle would detect the return of the store.
 //
-// It was seen to fail within its 100 scripts with nodes behind self asked again although the
-// store does not answer them.
+// It fails within its 100 scripts if nodes ranked behind self are chosen although the store does
+// not answer them.
 func TestOracleWhereTheStoreAnswersNobodySomebodyAsks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := Rank("hall", dataCentre(rapid.IntRange(Fewest, 8).Draw(t, "nodes")))
@@ -80,11 +80,11 @@
 		for _, n := range nodes {
 			s := Standing{Self: n.Name, Ranked: nodes, Lost: true, Passed: map[string]bool{}, Away: map[string]bool{}}
 			for _, other := range nodes {
-				// Each has asked all others, or still believes the first ones to be well.
+				// Each node has tried and skipped another node, or still treats it as usable.
 				s.Away[other.Name] = true
 				s.Passed[other.Name] = rapid.Bool().Draw(t, "passed")
 			}
-			// Those behind it were found away when the store answered it no more.
+			// The nodes from n on in rank order are skipped, as the store does not answer them.
 			for _, other := range nodes[slices.IndexFunc(nodes, func(o Node) bool { return o.Name == n.Name }):] {
 				s.Passed[other.Name] = true
 			}
--- a/internal/relay/teller.go
+++ b/internal/relay/teller.go
@@ -9,17 +9,17 @@
 	"topazmoor/internal/watch"
 )
 
-// beat is the longest pause between two messages of a node that is followed: whoever hears
-// nothing for silence takes it for frozen or cut off.
-const beat = 400 * time.Millisecond
+// heartbeat is the longest interval between two messages of a node that is followed: a follower that
+// receives none for silenceTimeout treats the node as hung or cut off.
+const heartbeat = 400 * time.Millisecond
 
-// Teller answers the nodes that follow this one. It is safe for concurrent use. It implements
-// suture.Service.
+// Teller sends this node's copies of tables to the nodes that follow it. It is safe for concurrent
+// use. It implements suture.Service.
 type Teller struct {
 	tables []*watch.Table
 
 	followers atomic.Int64
-	// refreshed is when a call was last ended for a first follower, in Unix nanoseconds.
+	// refreshed is when refresh last ended the waiting calls, in Unix nanoseconds.
 	refreshed atomic.Int64
 	stopping  atomic.Bool
 
@@ -27,20 +27,20 @@
 	wake chan struct{}
 }
 
-// NewTeller returns a Teller of these tables. The first one's calls find out whether the
+// NewTeller returns a Teller of these tables. The calls of the first table determine whether the
 // store answers.
 func NewTeller(tables ...*watch.Table) *Teller {
 	return &Teller{tables: tables, wake: make(chan struct{})}
 }
 
-// Tables returns the tables that are told.
+// Tables returns the tables whose copies are sent.
 func (t *Teller) Tables() []*watch.Table { return t.tables }
 
 // Followers returns how many nodes follow this one.
 func (t *Teller) Followers() int { return int(t.followers.Load()) }
 
-// Wake makes the next message go out now: a copy changed, or the store stopped or began to
-// answer.
+// Wake sends the next message to each follower now, as a copy changed, or the store stopped or
+// resumed answering.
 func (t *Teller) Wake() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -48,20 +48,21 @@
 	t.wake = make(chan struct{})
 }
 
-// Stop sends all followers elsewhere.
+// Stop ends all calls of followers with ErrStopping, also later ones.
 func (t *Teller) Stop() {
 	t.stopping.Store(true)
 	t.Wake()
 }
 
+// woken returns the channel that the next Wake closes.
 func (t *Teller) woken() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.wake
 }
 
-// Follow tells a node what it lacks, and all that changes, until ctx ends, send fails or this
-// node stops.
+// Follow sends a follower what it lacks and all later changes, until ctx ends, send fails or Stop is
+// called. It updates the versions in have to what was sent.
 func (t *Teller) Follow(ctx context.Context, have []Have, send func(Told) error) error {
 	t.followers.Add(1)
 	t.refresh()
@@ -71,7 +72,7 @@
 		if t.stopping.Load() {
 			return ErrStopping
 		}
-		if err := send(t.tell(have)); err != nil {
+		if err := send(t.buildMessage(have)); err != nil {
 			return err
 		}
 		if t.lacks(have) {
@@ -85,7 +86,8 @@
 	}
 }
 
-// lacks reports whether a table was told as it was a moment ago.
+// lacks reports whether a follower at the versions in have lacks changes, as after a cached update
+// with a whole table.
 func (t *Teller) lacks(have []Have) bool {
 	for _, h := range have {
 		if table := t.table(h.Table); table != nil && h.Version.Before(table.Copy().Position().Version) {
@@ -95,9 +97,9 @@
 	return false
 }
 
-// Serve implements suture.Service: it makes a message go out each beat.
+// Serve implements suture.Service: it sends a message to each follower every heartbeat.
 func (t *Teller) Serve(ctx context.Context) error {
-	tick := time.NewTicker(beat)
+	tick := time.NewTicker(heartbeat)
 	defer tick.Stop()
 	for {
 		select {
@@ -111,10 +113,10 @@
 	}
 }
 
-// refresh ends the calls of the store that wait for as long as one node for itself may: with
-// them this node's word would be too old. It does so once a maxAge, however nodes come and go.
-// All calls end: one that has gone silent is noticed by the first table's only, which is then
-// no longer in progress.
+// refresh ends the calls to the store that began before the first follower came: they may wait so
+// long that the last answer is too old for a follower. It does so at most once per maxAge, however
+// often followers come and go. It ends the calls of all tables: only the first table's calls detect
+// a hanging call, and the one in progress ends here.
 func (t *Teller) refresh() {
 	last := t.refreshed.Load()
 	now := time.Now().UnixNano()
@@ -131,10 +133,10 @@
 	}
 }
 
-// tell makes one message and notes in have what it tells.
-func (t *Teller) tell(have []Have) Told {
+// buildMessage builds one message and records in have the versions that it brings a follower to.
+func (t *Teller) buildMessage(have []Have) Told {
 	lead := t.tables[0]
-	// Before a first answer, and after the host stood still, what is here may be old.
+	// Before the first answer, and after the host was suspended, the copies may be old.
 	told := Told{Away: lead.Lost() || lead.LastHeard().IsZero(), Tables: make([]TableTold, len(have))}
 	if heard := lead.LastHeard(); !heard.IsZero() {
 		told.Age = time.Since(heard)
