--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,7 +1,7 @@
-// Package config keeps the configuration in the table service: one head
-// revision, one row for each template, account and drain order, and one row
-// for each change, which is also its audit record. A change is one transaction
-// against the revision that it was made on; accepted means committed. Source:
+// Package config stores the configuration in the table service: one row with the head
+// revision, one row per template, client account and drain order, and one row per
+// change, which is also its audit record. A change is one transaction conditional on
+// the revision that it was based on; it is accepted once it is committed. Source:
 // docs/design/006-configuration.md.
 package config
 
@@ -23,22 +23,23 @@
 	headKey     = "config-head"
 	objectTable = "config"
 	changeTable = "change"
-	// scanPage is the number of rows of one read.
+	// scanPage is the maximum number of rows of one read.
 	scanPage = 500
-	// settlePause is the pause between tries to settle a lost reply.
+	// settlePause is the pause between reads that determine the outcome of a commit whose reply
+	// was lost.
 	settlePause = 200 * time.Millisecond
 )
 
-// head is the value of the head row.
+// head is the JSON value of the head row.
 type head struct {
 	Revision int64 `json:"revision"`
 }
 
-// ConflictError: the configuration changed since the base of a submission.
+// ConflictError: the configuration has changed since the base revision of a submission.
 type ConflictError struct {
-	// Base is the revision the submission was made on, Head the current one.
+	// Base is the revision that the submission was based on, Head the current one.
 	Base, Head int64
-	// Since lists the changes in between.
+	// Since lists the changes after Base, at most scanPage of them.
 	Since []catalog.Change
 }
 
@@ -55,12 +56,14 @@
 // NewStore returns a Store over a table service.
 func NewStore(t store.Tables) *Store { return &Store{tables: t} }
 
-// Head returns the current revision, 0 when nothing was submitted yet.
+// Head returns the current revision; 0 if no change has been accepted yet.
 func (s *Store) Head(ctx context.Context) (int64, error) {
 	rev, _, err := s.head(ctx)
 	return rev, err
 }
 
+// head returns the current revision and the version of the head row; both are zero if the row does
+// not exist.
 func (s *Store) head(ctx context.Context) (revision int64, at store.Version, err error) {
 	row, err := s.tables.Get(ctx, metaTable, headKey)
 	if errors.Is(err, store.ErrNotFound) {
@@ -76,6 +79,7 @@
 	return h.Revision, row.Version, nil
 }
 
+// changeKey returns the key of a change's row; the keys sort in the order of the revisions.
 func changeKey(revision int64) string { return fmt.Sprintf("%020d", revision) }
 
 // Changes returns up to limit changes after a revision, in order.
@@ -95,8 +99,8 @@
 	return changes, nil
 }
 
-// Load returns all objects at one revision. Objects that change while they are
-// read make it start again.
+// Load returns all objects at one revision, and that revision. It starts again if the
+// configuration changes while the objects are read.
 func (s *Store) Load(ctx context.Context) (int64, []catalog.Item, error) {
 	for {
 		before, err := s.Head(ctx)
@@ -117,6 +121,7 @@
 	}
 }
 
+// objects reads all objects, which may be of several revisions.
 func (s *Store) objects(ctx context.Context) ([]catalog.Item, error) {
 	var items []catalog.Item
 	last := ""
@@ -140,9 +145,9 @@
 }
 
 // Submit commits a change that was validated on revision base. It returns the
-// accepted change, or *ConflictError, store.ErrUnavailable (not accepted),
-// or store.ErrUnknown when ctx ended before the outcome was known; the
-// change's ID then tells later whether it was accepted.
+// accepted change, or fails with *ConflictError, store.ErrUnavailable (not accepted),
+// or store.ErrUnknown if ctx ends before the outcome is known. In that case a later
+// search for the change's ID among the changes shows whether it was accepted.
 func (s *Store) Submit(ctx context.Context, base int64, c catalog.Change) (catalog.Change, error) {
 	c.Revision = base + 1
 	for {
@@ -171,8 +176,8 @@
 	}
 }
 
-// outcome is the result when the head moved past base: our own change, whose
-// reply was lost, or somebody else's.
+// outcome determines the result of a submission after the head moved past base: the change itself
+// was accepted and its reply was lost, or another change was accepted.
 func (s *Store) outcome(ctx context.Context, base, current int64, c catalog.Change) (catalog.Change, error) {
 	since, err := s.Changes(ctx, base, scanPage)
 	if err != nil {
@@ -186,7 +191,8 @@
 	return catalog.Change{}, &ConflictError{Base: base, Head: current, Since: since}
 }
 
-// transaction writes the change row first: its value is unique by the ID.
+// transaction builds the transaction of a change. The change row is the first write, as
+// store.CommitSettled reads that row back and needs a unique value: the ID makes it unique.
 func transaction(c catalog.Change, headVersion store.Version) (store.Tx, error) {
 	record, err := json.Marshal(c)
 	if err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -27,17 +27,18 @@
 	return []catalog.Item{{Kind: catalog.DrainItem, Name: host, Value: []byte(`{"host":"` + host + `"}`)}}
 }
 
-// submission is one Submit for the linearizability checker; head is what it
-// returned: the accepted revision, or the head that refused it.
+// submission is the input of one Submit for the linearizability checker.
 type submission struct{ base int64 }
 
+// submitResult is the output of one Submit; head is the accepted revision, or the head revision that
+// it conflicted with.
 type submitResult struct {
 	unknown, accepted bool
 	head              int64
 }
 
-// headModel is a compare-and-set register that counts up. A submission whose
-// outcome is unknown may or may not have been accepted.
+// headModel is a compare-and-set register whose value rises by one. A submission
+// whose outcome is unknown may or may not have been accepted.
 var headModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{int64(0)} },
 	Step: func(state, input, output any) []any {
@@ -56,8 +57,9 @@
 	},
 }
 
-// TestOracleConfigHeadIsLinearizable lets operators race over a store that
-// loses replies, drops commits and applies some late.
+// TestOracleConfigHeadIsLinearizable runs concurrent submissions of several operators against a
+// store that loses replies, drops commits and applies some late. The history must be linearizable,
+// and the number of audit records must equal the head revision.
 func TestOracleConfigHeadIsLinearizable(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(2, 7).Draw(rt, "operators")
@@ -85,6 +87,8 @@
 	})
 }
 
+// race runs one submission per base after its delay, and returns the operations, the number of stored
+// changes and the head revision.
 func race(bases []int64, delays []time.Duration, faults store.Faults) (ops []porcupine.Operation, stored int, head int64) {
 	tables := store.NewMemory()
 	tables.SetFaults(faults)
@@ -144,8 +148,8 @@
 	c.Assert(cell.Get().Drained("b"), qt.IsTrue)
 }
 
-// TestConfigChangeAheadIsFetched offers a change that leaves a hole: it must not
-// be applied over the hole.
+// TestConfigChangeAheadIsFetched offers a change that leaves a gap of revisions: it must not be
+// applied before the missing change is fetched.
 func TestConfigChangeAheadIsFetched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -12,17 +12,17 @@
 	"topazmoor/internal/settings"
 )
 
-// Peers is how a follower learns from other nodes.
+// Peers gives a follower access to other nodes.
 type Peers interface {
-	// Announce tells other nodes of the revision in force here.
+	// Announce sends the revision in force on this node to other nodes.
 	Announce(revision int64)
-	// Snapshot returns the configuration of the peer with the highest
-	// revision; revision 0 means that no peer has one.
+	// Snapshot returns the revision and the configuration of the peer with the
+	// highest revision; revision 0 means that no peer has a configuration.
 	Snapshot(ctx context.Context) (int64, []catalog.Item, error)
 }
 
-// Follower keeps a node's configuration at the highest revision that it has
-// heard of. It never goes back to a lower one.
+// Follower keeps a node's configuration at the highest revision that it received from
+// the store or from peers. It never goes back to a lower one.
 type Follower struct {
 	store *Store
 	cell  *blackboard.Cell[*catalog.Compiled]
@@ -34,14 +34,17 @@
 
 	mu       sync.Mutex
 	lastRead time.Time
-	broken   int64
-	recent   []catalog.Change
+	// failedRevision is the last revision that did not compile; it is logged once.
+	failedRevision int64
+	// recent are the latest changes that were applied, at most recentChanges, oldest first.
+	recent []catalog.Change
 }
 
-// recentChanges is how many changes are kept for peers that are behind.
+// recentChanges is how many applied changes are kept for peers that are behind.
 const recentChanges = 64
 
-// NewFollower returns a follower that publishes into cell.
+// NewFollower returns a follower that stores the configuration in cell and reads the head of s about
+// each interval every. It first stores an empty configuration.
 func NewFollower(s *Store, cell *blackboard.Cell[*catalog.Compiled], pools []settings.Pool, peers Peers, every time.Duration, log *slog.Logger) *Follower {
 	empty := catalog.New(pools)
 	cell.Store(empty)
@@ -55,8 +58,8 @@
 	return f.lastRead
 }
 
-// Serve polls the head until ctx ends. The interval is jittered, so that the
-// nodes' reads spread out, also after an outage.
+// Serve polls the head until ctx ends. The interval is random between half and one and a half
+// of the configured one, so that the nodes' reads spread out, also after an outage.
 func (f *Follower) Serve(ctx context.Context) error {
 	for {
 		f.poll(ctx)
@@ -78,11 +81,12 @@
 	}
 }
 
+// poll reads the head and applies what this node lacks, or asks peers if the store does not answer.
 func (f *Follower) poll(ctx context.Context) {
 	head, err := f.store.Head(ctx)
 	if err != nil {
 		f.log.Warn("configuration head not read; asking peers", "err", err)
-		f.fromPeers(ctx)
+		f.fetchFromPeers(ctx)
 		return
 	}
 	f.mu.Lock()
@@ -95,8 +99,8 @@
 	}
 }
 
-// catchUp applies stored changes, or loads everything at the first time. It
-// reports whether it got further.
+// catchUp applies the stored changes, or loads the whole configuration if this node has
+// none yet. It reports whether the revision rose.
 func (f *Follower) catchUp(ctx context.Context) bool {
 	have := f.cell.Get().Revision
 	if have == 0 {
@@ -118,7 +122,8 @@
 	return f.cell.Get().Revision > have
 }
 
-func (f *Follower) fromPeers(ctx context.Context) {
+// fetchFromPeers adopts the configuration of the peer with the highest revision.
+func (f *Follower) fetchFromPeers(ctx context.Context) {
 	rev, items, err := f.peers.Snapshot(ctx)
 	if err != nil {
 		f.log.Warn("no configuration from peers", "err", err)
@@ -127,8 +132,8 @@
 	f.Adopt(rev, items)
 }
 
-// Adopt replaces the configuration by a whole snapshot if that is newer. It
-// reports whether it was.
+// Adopt replaces the configuration by a whole snapshot if the snapshot is newer, and
+// announces the new revision to peers. It reports whether it replaced it.
 func (f *Follower) Adopt(revision int64, items []catalog.Item) bool {
 	f.mu.Lock()
 	if revision <= f.cell.Get().Revision {
@@ -143,9 +148,9 @@
 	return ok
 }
 
-// Offer applies a change if it is the next one, and passes it on to peers. A
-// change further ahead makes the follower read the store. It reports whether
-// the change was news.
+// Offer applies a change if its revision is the next one, and announces the revision to
+// peers. A later change is not applied but makes the follower read the store. Offer reports
+// whether it applied the change or the change is a later one.
 func (f *Follower) Offer(c catalog.Change) bool {
 	f.mu.Lock()
 	cur := f.cell.Get()
@@ -171,7 +176,7 @@
 }
 
 // Since returns the changes after a revision for a peer that is behind, or nil
-// when they are not remembered.
+// if they are no longer kept.
 func (f *Follower) Since(after int64) []catalog.Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -183,15 +188,15 @@
 	return nil
 }
 
-// apply compiles beside the old configuration and swaps it in whole. It is
-// called with the lock held.
+// apply compiles the next configuration and replaces the current one by it, unless it does
+// not compile. It reports whether it did. The caller holds f.mu.
 func (f *Follower) apply(base *catalog.Compiled, revision int64, items []catalog.Item) bool {
 	next, err := base.Apply(revision, items)
 	if err != nil {
-		if f.broken != revision {
+		if f.failedRevision != revision {
 			f.log.Error("accepted configuration does not compile here: compare the pools of this node's settings", "revision", revision, "err", err)
 		}
-		f.broken = revision
+		f.failedRevision = revision
 		return false
 	}
 	f.cell.Store(next)
