--- a/internal/relay/follower.go
+++ b/internal/relay/follower.go
@@ -159,12 +159,12 @@
 // choose calls Choose with the current state.
 func (f *Follower) choose() (Node, bool) {
 	now := time.Now()
-	st := Standing{
+	st := ChoiceState{
 		Self: f.Self, Ranked: Rank(f.DataCentre, f.Nodes()), Followed: f.Teller.Followers() > 0, Lost: f.Tables[0].Lost(),
-		Passed: make(map[string]bool), Away: make(map[string]bool),
+		Skipped: make(map[string]bool), Away: make(map[string]bool),
 	}
 	for name, p := range f.skipped {
-		st.Passed[name] = now.Before(p.until)
+		st.Skipped[name] = now.Before(p.until)
 		st.Away[name] = p.away
 	}
 	return Choose(st)
@@ -220,7 +220,7 @@
 		f.Log.Info("call to the followed node ended, choosing again", "peer", n.Name, "err", err)
 		return
 	}
-	pause := f.skip(n.Name, errors.Is(err, ErrAway))
+	pause := f.skip(n.Name, errors.Is(err, ErrStoreUnavailable))
 	f.teller = ""
 	f.Log.Warn("following a node failed, skipping it", "peer", n.Name, "addr", n.Addr, "for_ms", pause.Milliseconds(), "err", err)
 }
@@ -249,7 +249,7 @@
 	defer cancel(nil)
 	f.setLeaving(cancel)
 	defer f.setLeaving(nil)
-	watchdog := time.AfterFunc(acceptTimeout, func() { cancel(ErrSilent) })
+	watchdog := time.AfterFunc(acceptTimeout, func() { cancel(ErrNoMessage) })
 	defer watchdog.Stop()
 	now := time.Now()
 	s := &session{f: f, node: n, began: now, looked: now, doubts: f.doubts()}
@@ -257,8 +257,8 @@
 		watchdog.Reset(silenceTimeout)
 		return s.handle(t, time.Now())
 	})
-	if errors.Is(context.Cause(ctx), ErrSilent) {
-		return ErrSilent
+	if errors.Is(context.Cause(ctx), ErrNoMessage) {
+		return ErrNoMessage
 	}
 	if errors.Is(context.Cause(ctx), errMoved) {
 		return errMoved
@@ -292,7 +292,7 @@
 		out[i] = Have{Table: t.Name, Version: t.Copy().Position().Version}
 		switch {
 		case t.Copy().Rows() == nil:
-			out[i].Version = Nothing
+			out[i].Version = NoVersion
 		case f.whole:
 			out[i].Version = watch.Anew
 		}
@@ -362,7 +362,7 @@
 func (s *session) handleAway(now time.Time) error {
 	lead := s.f.Tables[0]
 	if s.f.ranksBefore(s.node.Name) {
-		return ErrAway
+		return ErrStoreUnavailable
 	}
 	s.f.hold()
 	switch {
@@ -372,7 +372,7 @@
 		lead.Poke()
 	case lead.Lost():
 	case lead.LastHeard().After(s.asked), now.Sub(s.asked) > ownAnswerTimeout:
-		return ErrAway
+		return ErrStoreUnavailable
 	}
 	return nil
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -29,14 +29,14 @@
 	Memory int64
 }
 
-// Have is the version of a table that the requesting node has; Nothing requests the whole table.
+// Have is the version of a table that the requesting node has; NoVersion requests the whole table.
 type Have struct {
 	Table   string
 	Version store.Version
 }
 
-// Nothing is the version of a copy that has not been read yet.
-var Nothing = store.Version{Number: -1}
+// NoVersion is the version of a copy that has not been read yet.
+var NoVersion = store.Version{Number: -1}
 
 // Told is one message from a node that is followed to a follower.
 type Told struct {
@@ -65,10 +65,10 @@
 
 // Reasons to leave a node. Follow of a Remote also returns other errors.
 var (
-	// ErrSilent: the node sent no message for too long. It is the cancellation cause of the call.
-	ErrSilent = errors.New("relay: the node stopped sending messages")
-	// ErrAway: the store does not answer the node.
-	ErrAway = errors.New("relay: the store does not answer the node")
+	// ErrNoMessage: the node sent no message for too long. It is the cancellation cause of the call.
+	ErrNoMessage = errors.New("relay: the node stopped sending messages")
+	// ErrStoreUnavailable: the store does not answer the node.
+	ErrStoreUnavailable = errors.New("relay: the store does not answer the node")
 	// ErrEmpty: the node has no copy, or sends another number of tables than requested.
 	ErrEmpty = errors.New("relay: the node has no copy")
 	// ErrBehind: the node's copy has been older than the follower's for too long.
@@ -110,8 +110,8 @@
 	return out
 }
 
-// Standing is the input of Choose: the state of the choosing node and its view of the others.
-type Standing struct {
+// ChoiceState is the input of Choose: the state of the choosing node and its view of the others.
+type ChoiceState struct {
 	// Self is the name of the choosing node.
 	Self string
 	// Ranked are the nodes of the data centre in the order of Rank, self included.
@@ -120,10 +120,10 @@
 	Followed bool
 	// Lost is set if the store does not answer self.
 	Lost bool
-	// Passed are the nodes that are skipped now. Away are the nodes, skipped or not, that the
-	// store did not answer when they were last left. Self is in Passed if it should rather
+	// Skipped are the nodes that are skipped now. Away are the nodes, skipped or not, that the
+	// store did not answer when they were last left. Self is in Skipped if it should rather
 	// follow another node than poll the store.
-	Passed, Away map[string]bool
+	Skipped, Away map[string]bool
 }
 
 // Choose returns the node to follow; ok is false if self is to poll the store itself.
@@ -132,18 +132,18 @@
 // confirm a state to each other that neither has read from the store. A node that the store refuses
 // may follow any other node that the store answers. If the store answers no node, the nodes ranked
 // behind the first one follow it, and that one detects when the store is back.
-func Choose(s Standing) (teller Node, ok bool) {
+func Choose(s ChoiceState) (teller Node, ok bool) {
 	if s.Followed || len(s.Ranked) < Fewest {
 		return Node{}, false
 	}
 	behind := false
 	for _, n := range s.Ranked[:min(len(s.Ranked), maxCandidates)] {
 		switch {
-		case n.Name == s.Self && !s.Passed[s.Self]:
+		case n.Name == s.Self && !s.Skipped[s.Self]:
 			return Node{}, false
 		case n.Name == s.Self:
 			behind = true
-		case !s.Passed[n.Name], s.Lost && s.Away[n.Name] && !behind:
+		case !s.Skipped[n.Name], s.Lost && s.Away[n.Name] && !behind:
 			return n, true
 		}
 	}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -41,20 +41,20 @@
 		return out
 	}
 	for name, tc := range map[string]struct {
-		s    Standing
+		s    ChoiceState
 		want string
 	}{
-		"first":                          {Standing{Self: "n0"}, ""},
-		"others follow the first":        {Standing{Self: "n3"}, "n0"},
-		"the first is left":              {Standing{Self: "n3", Passed: set("n0")}, "n1"},
-		"self is the next":               {Standing{Self: "n1", Passed: set("n0")}, ""},
-		"followed":                       {Standing{Self: "n3", Followed: true}, ""},
-		"all that are asked were left":   {Standing{Self: "n5", Passed: set("n0", "n1", "n2", "n3")}, ""},
-		"store away for both":            {Standing{Self: "n3", Lost: true, Passed: set("n0"), Away: set("n0")}, "n0"},
-		"store away for that one":        {Standing{Self: "n3", Passed: set("n0"), Away: set("n0")}, "n1"},
-		"first, turned away":             {Standing{Self: "n0", Lost: true, Passed: set("n0"), Away: set("n0")}, "n1"},
-		"first, store away for all":      {Standing{Self: "n0", Lost: true, Passed: set("n0", "n1", "n2", "n3"), Away: set("n0", "n1", "n2", "n3")}, ""},
-		"first, turned away a while ago": {Standing{Self: "n0", Away: set("n0")}, ""},
+		"first":                          {ChoiceState{Self: "n0"}, ""},
+		"others follow the first":        {ChoiceState{Self: "n3"}, "n0"},
+		"the first is left":              {ChoiceState{Self: "n3", Skipped: set("n0")}, "n1"},
+		"self is the next":               {ChoiceState{Self: "n1", Skipped: set("n0")}, ""},
+		"followed":                       {ChoiceState{Self: "n3", Followed: true}, ""},
+		"all that are asked were left":   {ChoiceState{Self: "n5", Skipped: set("n0", "n1", "n2", "n3")}, ""},
+		"store away for both":            {ChoiceState{Self: "n3", Lost: true, Skipped: set("n0"), Away: set("n0")}, "n0"},
+		"store away for that one":        {ChoiceState{Self: "n3", Skipped: set("n0"), Away: set("n0")}, "n1"},
+		"first, turned away":             {ChoiceState{Self: "n0", Lost: true, Skipped: set("n0"), Away: set("n0")}, "n1"},
+		"first, store away for all":      {ChoiceState{Self: "n0", Lost: true, Skipped: set("n0", "n1", "n2", "n3"), Away: set("n0", "n1", "n2", "n3")}, ""},
+		"first, turned away a while ago": {ChoiceState{Self: "n0", Away: set("n0")}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tc.s.Ranked = ranked
@@ -63,7 +63,7 @@
 			qt.Assert(t, ok, qt.Equals, tc.want != "")
 		})
 	}
-	_, ok := Choose(Standing{Self: "n1", Ranked: ranked[:Fewest-1]})
+	_, ok := Choose(ChoiceState{Self: "n1", Ranked: ranked[:Fewest-1]})
 	qt.Assert(t, ok, qt.IsFalse)
 }
 
@@ -78,15 +78,15 @@
 		nodes := Rank("hall", dataCentre(rapid.IntRange(Fewest, 8).Draw(t, "nodes")))
 		choice := make(map[string]string)
 		for _, n := range nodes {
-			s := Standing{Self: n.Name, Ranked: nodes, Lost: true, Passed: map[string]bool{}, Away: map[string]bool{}}
+			s := ChoiceState{Self: n.Name, Ranked: nodes, Lost: true, Skipped: map[string]bool{}, Away: map[string]bool{}}
 			for _, other := range nodes {
 				// Each node has tried and skipped another node, or still treats it as usable.
 				s.Away[other.Name] = true
-				s.Passed[other.Name] = rapid.Bool().Draw(t, "passed")
+				s.Skipped[other.Name] = rapid.Bool().Draw(t, "passed")
 			}
 			// The nodes from n on in rank order are skipped, as the store does not answer them.
 			for _, other := range nodes[slices.IndexFunc(nodes, func(o Node) bool { return o.Name == n.Name }):] {
-				s.Passed[other.Name] = true
+				s.Skipped[other.Name] = true
 			}
 			if teller, ok := Choose(s); ok {
 				choice[n.Name] = teller.Name
