--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -133,7 +133,7 @@
 
 func newFollower(s *Store) (*Follower, *blackboard.Cell[*catalog.Compiled]) {
 	cell := &blackboard.Cell[*catalog.Compiled]{}
-	return NewFollower(s, cell, nil, Alone{}, time.Second, quiet), cell
+	return NewFollower(s, cell, nil, NoPeers{}, time.Second, quiet), cell
 }
 
 func TestConfigNeverReverts(t *testing.T) {
--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -204,11 +204,11 @@
 	return true
 }
 
-// Alone is the Peers of a node without peers.
-type Alone struct{}
+// NoPeers is the Peers of a node without peers.
+type NoPeers struct{}
 
 // Announce implements Peers.
-func (Alone) Announce(int64) {}
+func (NoPeers) Announce(int64) {}
 
 // Snapshot implements Peers.
-func (Alone) Snapshot(context.Context) (int64, []catalog.Item, error) { return 0, nil, nil }
+func (NoPeers) Snapshot(context.Context) (int64, []catalog.Item, error) { return 0, nil, nil }
