--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -81,7 +81,8 @@
 	}
 }
 
-// poll reads the head and applies what this node lacks, or asks peers if the store does not answer.
+// poll reads the head and applies what this node lacks, or fetches from peers if the head
+// cannot be read.
 func (f *Follower) poll(ctx context.Context) {
 	head, err := f.store.Head(ctx)
 	if err != nil {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -117,8 +117,8 @@
 
 // Watchable is a table service whose changes can be followed.
 type Watchable interface {
-	// Snapshot returns a whole table, which may be some seconds old. An implementation that
-	// detects that the table is older than least fails with ErrStale at once.
+	// Snapshot returns a whole table, which may be some seconds old. It fails with
+	// ErrStale as soon as it detects that the table is older than least.
 	Snapshot(ctx context.Context, table string, least Version) (Snapshot, error)
 	// Changes returns what changed in a table after a version, in order. It
 	// waits up to wait for a first change and then returns none. It fails with
