--- a/internal/httpconn/httpconn_test.go
+++ b/internal/httpconn/httpconn_test.go
@@ -23,8 +23,8 @@
 
 func belongs(h http.Header, id string) bool { return h.Get(idHeader) == "" || h.Get(idHeader) == id }
 
-// target is a scripted target on loopback: handle is called with each request
-// and writes raw bytes. It reports whether the connection goes on.
+// target starts a target on the loopback interface and returns its address. handle is
+// called with each request, writes raw bytes and reports whether the connection stays open.
 func target(t testing.TB, handle func(c net.Conn, r *http.Request) bool) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -107,7 +107,7 @@
 			answer(conn, id, "first")
 			return true
 		}
-		// A second answer to the first request comes where the next is due.
+		// A second answer to the first request precedes the answer to this one.
 		answer(conn, "1", "first again")
 		answer(conn, id, "second")
 		return true
@@ -119,36 +119,36 @@
 	c.Assert(bodyOf(t, a, err), qt.Equals, "second")
 }
 
-func TestConnectionWithBytesOfNobodyIsNotUsedAgain(t *testing.T) {
+func TestConnectionWithUnexpectedBytesIsNotUsedAgain(t *testing.T) {
 	c := qt.New(t)
 	conns := make(chan net.Conn, 2)
-	told := make(chan struct{})
+	strayWritten := make(chan struct{})
 	addr := target(t, func(conn net.Conn, r *http.Request) bool {
 		conns <- conn
 		answer(conn, r.Header.Get(idHeader), "ok")
 		if r.Header.Get(idHeader) == "1" {
 			fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
-			close(told)
+			close(strayWritten)
 		}
 		return true
 	})
 	p := newPool(t)
 	a, err := p.Do(t.Context(), addr, get("1"))
 	c.Assert(bodyOf(t, a, err), qt.Equals, "ok")
-	<-told
-	// The stray bytes were written before, but may still be on their way.
+	<-strayWritten
+	// The stray bytes were written, but may not have been received yet.
 	c.Assert(eventually(func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		list := p.idle[addr]
-		return len(list) == 0 || !quiet(list[0])
+		return len(list) == 0 || !openWithoutData(list[0])
 	}), qt.IsTrue)
 	a, err = p.Do(t.Context(), addr, get("2"))
 	c.Assert(bodyOf(t, a, err), qt.Equals, "ok")
 	c.Assert(<-conns, qt.Not(qt.Equals), <-conns)
 }
 
-// eventually waits for what another process does, without a bound on its time.
+// eventually polls until done reports true, without a timeout.
 func eventually(done func() bool) bool {
 	for !done() {
 		time.Sleep(time.Millisecond)
@@ -170,7 +170,7 @@
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			list := p.idle[addr]
-			return len(list) == 0 || !quiet(list[len(list)-1])
+			return len(list) == 0 || !openWithoutData(list[len(list)-1])
 		})
 	}
 }
@@ -218,7 +218,7 @@
 			addr := target(t, func(conn net.Conn, _ *http.Request) bool {
 				io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\nall there is")
 				if reset {
-					// Close with a reset, once the bytes have gone.
+					// Makes the close send a reset after the bytes were written.
 					c.Check(conn.(*net.TCPConn).SetLinger(0), qt.IsNil)
 				}
 				return false
@@ -280,13 +280,14 @@
 	<-gone
 }
 
-// TestOracleEachRequestGetsItsOwnAnswer sends requests over kept connections to
-// a target that now and then answers twice, late, short, or not at all. Each
-// request gets its own whole answer or an error, and is seen once.
+// TestOracleEachRequestGetsItsOwnAnswer sends requests over pooled connections to
+// a target that sometimes answers twice, truncates its answer, or does not answer.
+// Each request must get its own complete answer or an error, and must be sent at
+// most once.
 //
-// The look at the answer's ID and the check for bytes on a kept connection stand
-// in for each other here: it was seen to fail within its 100 scripts without
-// both, and to pass without one. Each alone has its own test above.
+// The check of the answer's ID and the check for unread bytes on an idle connection
+// cover the same faults here: without both the test fails within its 100 scripts,
+// without one of them it passes. Each check has a test of its own above.
 func TestOracleEachRequestGetsItsOwnAnswer(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		faults := rapid.SliceOfN(rapid.SampledFrom([]string{"", "", "", "extra", "short", "close", "nothing", "unframed"}), 1, 25).Draw(rt, "faults")
@@ -355,8 +356,8 @@
 	})
 }
 
-// What is not to be sent any more when its turn comes leaves no byte, and its connection serves
-// others.
+// A request that May withholds sends no byte, and its connection remains usable for other
+// requests.
 func TestRequestIsWithheldBeforeItsFirstByte(t *testing.T) {
 	c := qt.New(t)
 	var mu sync.Mutex
@@ -371,9 +372,9 @@
 	p := newPool(t)
 	never := func() bool { return false }
 	for i := range 3 {
-		kept := get(fmt.Sprint("withheld-", i))
-		kept.May = never
-		_, err := p.Do(t.Context(), addr, kept)
+		withheld := get(fmt.Sprint("withheld-", i))
+		withheld.May = never
+		_, err := p.Do(t.Context(), addr, withheld)
 		var ce *Error
 		c.Assert(errors.As(err, &ce), qt.IsTrue)
 		c.Assert(ce.Withheld, qt.IsTrue)
--- a/internal/httpconn/keepalive.go
+++ b/internal/httpconn/keepalive.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// keepAlive returns the idle timeout that a target names in its answer, such
-// as "Keep-Alive: timeout=5".
+// keepAlive returns the idle timeout in a target's Keep-Alive header, given in
+// seconds as "timeout=5" or "5". It reports false if the header has none.
 func keepAlive(h http.Header) (time.Duration, bool) {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
--- a/internal/httpconn/pool.go
+++ b/internal/httpconn/pool.go
@@ -1,9 +1,9 @@
-// Package httpconn sends single HTTP/1.1 requests to targets over kept
-// connections and says exactly how far each got. net/http parses the answers;
-// the package owns the connections, because three things must be known that
-// http.Transport hides: whether a byte of a request was written, whether a
-// connection carries bytes that belong to no request, and which answer belongs
-// to which request. Nothing is ever sent twice.
+// Package httpconn sends single HTTP/1.1 requests to targets over pooled
+// connections and reports whether a failed request may have reached its target.
+// net/http parses the answers; the package owns the connections, because three
+// things must be known that http.Transport hides: whether sending of a request
+// began, whether a connection carries bytes that belong to no request, and which
+// answer belongs to which request. No request is ever sent twice.
 package httpconn
 
 import (
@@ -18,19 +18,19 @@
 // Dial opens a connection; net.Dialer.DialContext in production.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Config is what a Pool is built from.
+// Config configures a Pool.
 type Config struct {
 	Dial Dial
 	// Belongs reports whether an answer belongs to the request with this ID.
 	Belongs func(h http.Header, id string) bool
-	// IdleTimeout closes kept connections that were not used; a shorter time
-	// that the target names goes before it.
+	// IdleTimeout is how long an idle connection may be reused. A shorter timeout
+	// in the target's Keep-Alive header, less idleMargin, takes precedence.
 	IdleTimeout time.Duration
-	// MaxIdle is the most kept connections of one target.
+	// MaxIdle is the maximum number of idle connections per target.
 	MaxIdle int
 }
 
-// Pool keeps connections to targets. It is safe for concurrent use.
+// Pool holds idle connections to targets for reuse. It is safe for concurrent use.
 type Pool struct {
 	cfg Config
 
@@ -47,23 +47,24 @@
 	addr string
 	br   *bufio.Reader
 	bw   *bufio.Writer
-	// used is set once an answer came on the connection.
+	// used is set once an answer was read completely from the connection.
 	used bool
-	// until is when the connection must no longer be used.
-	until time.Time
+	// expires is the time from which the connection must not be reused.
+	expires time.Time
 }
 
-// bufferSize holds the head and the body of most requests and answers.
+// bufferSize is the size of each read and write buffer, in bytes. It holds the head and the body of most requests and answers.
 const bufferSize = 4 << 10
 
-// get returns a kept connection, unless a fresh one is asked for, or opens one.
+// get returns an idle connection to addr, or opens a new one if none is usable or
+// fresh is set.
 func (p *Pool) get(ctx context.Context, addr string, fresh bool) (*conn, error) {
 	for !fresh {
 		c := p.pop(addr)
 		if c == nil {
 			break
 		}
-		if time.Now().Before(c.until) && quiet(c) {
+		if time.Now().Before(c.expires) && openWithoutData(c) {
 			return c, nil
 		}
 		c.Close()
@@ -75,6 +76,8 @@
 	return &conn{Conn: nc, addr: addr, br: bufio.NewReaderSize(nc, bufferSize), bw: bufio.NewWriterSize(nc, bufferSize)}, nil
 }
 
+// pop removes the most recently used idle connection to addr and returns it, or nil
+// if there is none.
 func (p *Pool) pop(addr string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -87,8 +90,9 @@
 	return c
 }
 
-// keep puts a connection back whose last answer was read to its end.
-func (p *Pool) keep(c *conn) {
+// putIdle returns a connection to the pool after its last answer was read to its
+// end. It closes the connection if the target already has MaxIdle idle ones.
+func (p *Pool) putIdle(c *conn) {
 	c.used = true
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,17 +104,18 @@
 	p.idle[c.addr] = append(list, c)
 }
 
-// unused gives up a connection that was got for nothing. A new one is closed: who gets a kept
-// one takes its end for that of an idle connection, which it is not yet.
-func (p *Pool) unused(c *conn) {
+// release takes back a connection on which the current request was not sent. It closes a new one:
+// in the pool it would be marked as used, and a later failure on it would be reported with
+// Error.Reused although the connection had never carried a request.
+func (p *Pool) release(c *conn) {
 	if !c.used {
 		c.Close()
 		return
 	}
-	p.keep(c)
+	p.putIdle(c)
 }
 
-// Forget closes the kept connections of a target.
+// Forget closes the idle connections to a target.
 func (p *Pool) Forget(addr string) {
 	p.mu.Lock()
 	list := p.idle[addr]
@@ -121,14 +126,14 @@
 	}
 }
 
-// Sweep closes kept connections whose time is over.
+// Sweep closes idle connections that have expired.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for addr, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.After(c.until) {
+			if now.After(c.expires) {
 				c.Close()
 				continue
 			}
@@ -142,7 +147,7 @@
 	}
 }
 
-// Close closes all kept connections.
+// Close closes all idle connections.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/httpconn/quiet.go
+++ b/internal/httpconn/quiet.go
@@ -4,16 +4,16 @@
 	"syscall"
 )
 
-// quiet reports whether a kept connection is open and carries no bytes: bytes
-// that came while no request was waiting belong to nobody, and a closed
-// connection must not be handed a request that may not be repeated.
-func quiet(c *conn) bool {
+// openWithoutData reports whether an idle connection is open and has no unread
+// bytes. Bytes received while no request was pending belong to no request, and a
+// closed connection must not be given a request that may not be repeated.
+func openWithoutData(c *conn) bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
-		// Connections of tests that have no descriptor.
+		// A test's connection without a file descriptor.
 		return true
 	}
 	raw, err := sc.SyscallConn()
@@ -24,8 +24,8 @@
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		// Only "nothing to read" means open and quiet; end of file and bytes
-		// return no error.
+		// Only EAGAIN means that the connection is open without data: end of file
+		// and unread bytes return no error.
 		open = err == syscall.EAGAIN
 		return true
 	})
--- a/internal/httpconn/request.go
+++ b/internal/httpconn/request.go
@@ -13,42 +13,45 @@
 	"github.com/rotisserie/eris"
 )
 
-// Request is one message to a target.
+// Request is one HTTP request to a target.
 type Request struct {
-	// ID is the request's ID, by which its answer is known.
+	// ID identifies the request; Config.Belongs matches answers against it.
 	ID string
-	// Method, Target (path and query) and Host are sent as they are.
+	// Method, Target (path and query) and Host are sent unchanged.
 	Method, Target, Host string
 	Header               http.Header
 	Body                 []byte
-	// Fresh asks for a new connection: if it ends, the target ended, or ended it, after the
-	// request was sent.
+	// Fresh requires a new connection. If a new connection closes, the target closed it or
+	// terminated after it was opened; it can't be an idle connection that had timed out.
 	Fresh bool
-	// May, when set, is asked just before the first byte is written, after the connection was
-	// got, which may take a while. Where it reports false nothing is sent.
+	// May, if set, is called after a connection was obtained, which may take a while, and
+	// before the first byte is written. If it returns false, nothing is sent.
 	May func() bool
 }
 
-// Answer is an answer whose head was read. Body must be closed.
+// Answer is a target's answer, of which the status and the header were read. The caller must
+// close Body.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length is the body's length; -1 when the answer does not tell.
+	// Length is the body's length; -1 if the answer does not state it.
 	Length int64
-	// Body ends with io.EOF only if the answer is complete.
+	// Body returns io.EOF only at the end of a complete answer.
 	Body io.ReadCloser
 }
 
-// Error is a request without an answer.
+// Error reports a request that got no answer.
 type Error struct {
-	// Sent is false when no byte was handed to the target: it cannot have run.
+	// Sent is false only if no byte of the request was written: the target cannot have run
+	// it. It is true whenever sending began.
 	Sent bool
-	// Reused is set when the connection had been kept from an earlier request: the
-	// target may have closed it just before.
+	// Reused is set if the connection had carried an earlier request: the target may
+	// have closed it as idle just before this one was sent.
 	Reused bool
-	// Refused is set when the target's host answered that nobody listens.
+	// Refused is set if connecting failed with a *net.OpError that is neither a timeout
+	// nor a cancellation, such as a refused connection.
 	Refused bool
-	// Withheld is set when May kept the request back.
+	// Withheld is set if the request was not sent because Request.May returned false.
 	Withheld bool
 	cause    error
 }
@@ -60,24 +63,26 @@
 func (e *Error) Unwrap() error { return e.cause }
 
 const (
-	// maxStray is the most answers to other requests that are skipped.
+	// maxStray is the maximum number of answers to other requests that are skipped
+	// while waiting for one answer.
 	maxStray = 2
-	// maxStrayBytes bounds the body of a skipped answer.
+	// maxStrayBytes bounds the body of a skipped answer, in bytes.
 	maxStrayBytes = 64 << 10
-	// syncBody is the largest body that is written before the answer is
-	// awaited; it fits the socket buffers.
-	syncBody = 16 << 10
+	// maxSyncBody is the largest body, in bytes, that is written before the answer is
+	// read. It fits the socket buffers; larger bodies are written concurrently.
+	maxSyncBody = 16 << 10
 )
 
-// Do sends a request to addr and reads the head of its answer. It fails with
-// *Error. The connection closes when ctx ends.
+// Do sends a request to addr and reads the status and the header of its answer. Its errors
+// are of type *Error. If ctx ends before the answer was read completely, the connection is
+// closed.
 func (p *Pool) Do(ctx context.Context, addr string, r *Request) (*Answer, error) {
 	c, err := p.get(ctx, addr, r.Fresh)
 	if err != nil {
 		return nil, &Error{cause: eris.Wrap(err, "connect"), Refused: refused(err)}
 	}
 	if r.May != nil && !r.May() {
-		p.unused(c)
+		p.release(c)
 		return nil, &Error{Withheld: true, cause: errWithheld}
 	}
 	x := &exchange{p: p, c: c, r: r}
@@ -86,7 +91,7 @@
 	if err != nil {
 		x.end(false)
 		if c.used {
-			// The others were kept as long: their target has closed them, or ended.
+			// The target may have closed its other idle connections too, or terminated.
 			p.Forget(addr)
 		}
 		return nil, &Error{Sent: true, Reused: c.used, cause: err}
@@ -96,6 +101,8 @@
 
 var errWithheld = eris.New("withheld before its first byte")
 
+// refused reports whether connecting failed with a *net.OpError other than a timeout
+// or a cancellation.
 func refused(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && !op.Timeout() && !errors.Is(err, context.Canceled)
@@ -109,11 +116,13 @@
 	stop func() bool
 	// written is set once the whole request was written.
 	written atomic.Bool
-	ended   atomic.Bool
+	// ended is set once the connection was returned to the pool or closed.
+	ended atomic.Bool
 }
 
+// run sends the request and returns the answer with its header read.
 func (x *exchange) run() (*http.Response, error) {
-	if len(x.r.Body) <= syncBody {
+	if len(x.r.Body) <= maxSyncBody {
 		if err := x.write(); err != nil {
 			return nil, err
 		}
@@ -132,7 +141,7 @@
 func (x *exchange) write() error {
 	w := x.c.bw
 	for _, s := range []string{x.r.Method, " ", x.r.Target, " HTTP/1.1\r\nHost: ", x.r.Host, "\r\n"} {
-		// A bufio.Writer keeps its first error for Flush.
+		// After an error a bufio.Writer ignores further writes, and Flush returns the error.
 		_, _ = w.WriteString(s)
 	}
 	_ = x.r.Header.Write(w)
@@ -148,11 +157,12 @@
 	return nil
 }
 
-// read returns the head of the answer that belongs to the request.
+// read returns the answer to the request, with its header read. It skips 1xx answers and
+// a few short answers to other requests.
 func (x *exchange) read() (*http.Response, error) {
-	asked := &http.Request{Method: x.r.Method}
+	req := &http.Request{Method: x.r.Method}
 	for stray := 0; ; {
-		resp, err := http.ReadResponse(x.c.br, asked)
+		resp, err := http.ReadResponse(x.c.br, req)
 		if err != nil {
 			return nil, eris.Wrap(err, "read answer")
 		}
@@ -171,20 +181,21 @@
 	}
 }
 
-// end gives the connection back, or closes it.
+// end returns the connection to the pool, or closes it. Only the first call has an effect.
 func (x *exchange) end(reusable bool) {
 	if !x.ended.CompareAndSwap(false, true) {
 		return
 	}
-	// A context that ended closes the connection even if the answer is whole.
+	// If stop reports false, the context ended first and the connection is being closed,
+	// even if the answer is complete.
 	if !x.stop() || !reusable {
 		x.c.Close()
 		return
 	}
-	x.p.keep(x.c)
+	x.p.putIdle(x.c)
 }
 
-// body reads an answer's body and ends the exchange with it.
+// body is an answer's body. Reading it to its end or closing it ends the exchange.
 type body struct {
 	x    *exchange
 	resp *http.Response
@@ -199,27 +210,27 @@
 	return n, err
 }
 
-// reusable reports whether the connection may carry another request, and sets
-// until when.
+// reusable reports whether the connection may carry another request, and sets the
+// time at which it expires.
 func (b *body) reusable() bool {
 	if b.resp.Close || !b.x.written.Load() || b.x.c.br.Buffered() > 0 {
 		return false
 	}
-	keep := b.x.p.cfg.IdleTimeout
-	if told, ok := keepAlive(b.resp.Header); ok {
-		keep = min(keep, told-keepMargin)
+	reuseFor := b.x.p.cfg.IdleTimeout
+	if advertised, ok := keepAlive(b.resp.Header); ok {
+		reuseFor = min(reuseFor, advertised-idleMargin)
 	}
-	b.x.c.until = time.Now().Add(keep)
-	return keep > 0
+	b.x.c.expires = time.Now().Add(reuseFor)
+	return reuseFor > 0
 }
 
-// Close implements io.Closer. An answer that was not read to its end takes its
-// connection with it.
+// Close implements io.Closer. If the answer was not read to its end, its
+// connection is closed.
 func (b *body) Close() error {
 	b.x.end(false)
 	return nil
 }
 
-// keepMargin is how long before the target's idle timeout a connection is no
-// longer used; timers of both ends and one way through the network.
-const keepMargin = 500 * time.Millisecond
+// idleMargin is how long before the target's idle timeout a connection is no longer
+// reused. It covers timer inaccuracy at both ends and the one-way network delay.
+const idleMargin = 500 * time.Millisecond
