--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -1,4 +1,4 @@
-// Package sse splits a stream of server-sent events into whole events without
+// Package sse splits a stream of server-sent events into complete events without
 // changing their bytes.
 package sse
 
@@ -10,31 +10,33 @@
 	"github.com/rotisserie/eris"
 )
 
-// Event is one whole event.
+// Event is one complete event.
 type Event struct {
 	// Raw is the event's bytes, its blank line included. It is valid until the
 	// next call of Next.
 	Raw []byte
-	// ID is the event's ID; "" for none.
+	// ID is the event's ID, or "" if it has none.
 	ID string
 }
 
-// Reader reads events.
+// Reader reads events from a stream.
 type Reader struct {
-	br  *bufio.Reader
+	br *bufio.Reader
+	// raw holds the bytes of the current event.
 	raw []byte
 }
 
 const (
+	// bufferSize is the size of the read buffer, in bytes.
 	bufferSize = 4 << 10
-	// maxEvent bounds one event, in bytes.
+	// maxEvent bounds an event that contains a line longer than the read buffer, in bytes.
 	maxEvent = 1 << 20
 )
 
-// ErrCut: the stream ended in the middle of an event.
-var ErrCut = eris.New("sse: the stream ended within an event")
+// ErrTruncated reports that the stream ended within an event.
+var ErrTruncated = eris.New("sse: the stream ended within an event")
 
-// NewReader returns a Reader.
+// NewReader returns a Reader of the stream r.
 func NewReader(r io.Reader) *Reader { return &Reader{br: bufio.NewReaderSize(r, bufferSize)} }
 
 var (
@@ -42,8 +44,9 @@
 	space   = []byte(" ")
 )
 
-// Next returns the next event. It returns io.EOF at an end between two events,
-// ErrCut at one within an event, and errors of the reader as they are.
+// Next returns the next event. At the end of the stream it returns io.EOF, or
+// ErrTruncated within an event. It returns errors of the reader unchanged, and
+// bufio.ErrBufferFull if a line exceeds the read buffer and the event maxEvent.
 func (r *Reader) Next() (Event, error) {
 	r.raw = r.raw[:0]
 	ev := Event{}
@@ -52,10 +55,10 @@
 		r.raw = append(r.raw, line...)
 		switch {
 		case err == bufio.ErrBufferFull && len(r.raw) < maxEvent:
-			// The ID is never in a line that long.
+			// A line longer than the buffer is read in parts. Its ID is not parsed.
 			continue
 		case err == io.EOF && len(r.raw) > 0:
-			return Event{}, ErrCut
+			return Event{}, ErrTruncated
 		case err != nil:
 			return Event{}, err
 		}
@@ -70,5 +73,5 @@
 	}
 }
 
-// Buffered reports whether more bytes were read already.
+// Buffered reports whether bytes after the last event are already in the read buffer.
 func (r *Reader) Buffered() bool { return r.br.Buffered() > 0 }
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -28,14 +28,14 @@
 	c.Assert(ids, qt.DeepEquals, []string{"1", "2", ""})
 }
 
-func TestHalfAnEventIsNoEnd(t *testing.T) {
+func TestTruncatedEventIsReported(t *testing.T) {
 	for _, raw := range []string{"id: 1", "id: 1\n", "id: 1\ndata: a\n", "id: 1\ndata: a\n\nid"} {
 		r := NewReader(strings.NewReader(raw))
 		var err error
 		for err == nil {
 			_, err = r.Next()
 		}
-		if !errors.Is(err, ErrCut) {
+		if !errors.Is(err, ErrTruncated) {
 			t.Errorf("%q ends with %v", raw, err)
 		}
 	}
