--- a/internal/supervise/supervise.go
+++ b/internal/supervise/supervise.go
@@ -1,6 +1,6 @@
-// Package supervise names services for their supervisor. Without a name suture
-// prints the whole service, which reads fields that the service's own goroutines
-// may be writing.
+// Package supervise gives suture services a name. For a service without a name
+// suture formats the whole value, which reads fields that the service's own
+// goroutines may be writing.
 package supervise
 
 import (
@@ -9,9 +9,10 @@
 	"github.com/thejerf/suture/v4"
 )
 
-// Named returns a service under a name.
+// Named returns a service that runs s and whose String method returns name.
 func Named(name string, s suture.Service) suture.Service { return named{name, s} }
 
+// named is a service with a name.
 type named struct {
 	name    string
 	service suture.Service
--- a/internal/supervise/supervise_test.go
+++ b/internal/supervise/supervise_test.go
@@ -7,19 +7,19 @@
 	"github.com/thejerf/suture/v4"
 )
 
-// printed is a service that must not be printed.
-type printed struct{ t *testing.T }
+// unprintable is a service that fails its test when it is formatted with %#v.
+type unprintable struct{ t *testing.T }
 
-func (p printed) Serve(context.Context) error { return suture.ErrDoNotRestart }
+func (p unprintable) Serve(context.Context) error { return suture.ErrDoNotRestart }
 
-// GoString is what suture's name for a service without one calls.
-func (p printed) GoString() string {
+// GoString is called when suture formats a service that has no name.
+func (p unprintable) GoString() string {
 	p.t.Error("the supervisor printed the service")
 	return ""
 }
 
-// TestSupervisorDoesNotReadItsServices: reading them was a data race with their own
-// goroutines, found by the race detector in TestOracleBatches beside load.
+// TestSupervisorDoesNotReadItsServices guards against a data race: formatting a service reads
+// fields that the service's own goroutines write.
 func TestSupervisorDoesNotReadItsServices(t *testing.T) {
-	suture.NewSimple("test").Add(Named("one", printed{t}))
+	suture.NewSimple("test").Add(Named("one", unprintable{t}))
 }
