--- a/internal/metrics/entry.go
+++ b/internal/metrics/entry.go
@@ -9,25 +9,27 @@
 	"topazmoor/internal/passthrough"
 )
 
-// Entry is the metrics of a node that serves pass-through requests. It implements
+// Entry holds the metrics of a node that serves pass-through requests. It implements
 // passthrough.Observer.
 type Entry struct {
 	*Registry
-	requests *prometheus.CounterVec
-	latency  *prometheus.HistogramVec
-	stages   *prometheus.HistogramVec
-	began    *prometheus.CounterVec
-	misjudge *prometheus.HistogramVec
-	repeats  *prometheus.CounterVec
+	requests      *prometheus.CounterVec
+	latency       *prometheus.HistogramVec
+	stages        *prometheus.HistogramVec
+	began         *prometheus.CounterVec
+	estimateError *prometheus.HistogramVec
+	repeats       *prometheus.CounterVec
 }
 
-// latencyBuckets are 5 ms to 20 s: a round trip to the longest deadline.
+// latencyBuckets are in seconds, from a network round trip (5 ms) to the longest
+// deadline (20 s).
 var latencyBuckets = prometheus.ExponentialBuckets(0.005, 2, 13)
 
-// misjudgedBuckets are the errors of estimates that matter: objectives are 0.1 to 4 s.
-var misjudgedBuckets = []float64{-4, -2, -1, -0.5, -0.2, -0.1, 0, 0.1, 0.2, 0.5, 1, 2, 4, 8}
+// estimateErrorBuckets are in seconds. They cover the estimate errors that are relevant to
+// objectives of 0.1 to 4 s.
+var estimateErrorBuckets = []float64{-4, -2, -1, -0.5, -0.2, -0.1, 0, 0.1, 0.2, 0.5, 1, 2, 4, 8}
 
-// NewEntry returns an empty set.
+// NewEntry returns an Entry with its metrics registered.
 func NewEntry() *Entry {
 	e := &Entry{
 		Registry: NewRegistry(),
@@ -46,23 +48,23 @@
 		began: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "topazmoor_entry_began_total", Help: "Admitted requests whose answer began, by rank and whether within the objective.",
 		}, []string{"rank", "met"}),
-		misjudge: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		estimateError: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "topazmoor_entry_estimate_error_seconds", Help: "Time until the answer began less what was estimated when the request was admitted.",
-			Buckets: misjudgedBuckets,
+			Buckets: estimateErrorBuckets,
 		}, []string{"rank"}),
 		repeats: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "topazmoor_entry_repeats_total", Help: "Requests sent to one more target, by service and reason.",
 		}, []string{"service", "why"}),
 	}
-	e.registry.MustRegister(e.requests, e.latency, e.stages, e.began, e.misjudge, e.repeats)
+	e.registry.MustRegister(e.requests, e.latency, e.stages, e.began, e.estimateError, e.repeats)
 	return e
 }
 
 // RequestDone implements passthrough.Observer.
 func (e *Entry) RequestDone(d passthrough.Done) {
-	rank, ran := strconv.Itoa(d.Rank), d.Verdict.String()
-	e.requests.WithLabelValues(rank, string(d.Code), ran).Inc()
-	e.latency.WithLabelValues(rank, ran).Observe(d.Took.Seconds())
+	rank, verdictLabel := strconv.Itoa(d.Rank), d.Verdict.String()
+	e.requests.WithLabelValues(rank, string(d.Code), verdictLabel).Inc()
+	e.latency.WithLabelValues(rank, verdictLabel).Observe(d.Took.Seconds())
 }
 
 // StageDone implements passthrough.Observer.
@@ -74,7 +76,7 @@
 func (e *Entry) Began(rank int, estimated, took, objective time.Duration) {
 	label := strconv.Itoa(rank)
 	e.began.WithLabelValues(label, strconv.FormatBool(took <= objective)).Inc()
-	e.misjudge.WithLabelValues(label).Observe((took - estimated).Seconds())
+	e.estimateError.WithLabelValues(label).Observe((took - estimated).Seconds())
 }
 
 // Repeated implements passthrough.Observer.
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,6 @@
-// Package metrics holds the Prometheus metrics of one node. Labels are bounded
-// by the configuration: no label carries a request, a key or a target.
+// Package metrics holds the Prometheus metrics of one node. The number of
+// label values is bounded by the configuration: no label holds a request, a key or
+// a target.
 package metrics
 
 import (
@@ -13,13 +14,14 @@
 	"topazmoor/internal/verdict"
 )
 
-// Registry collects metrics and serves them.
+// Registry registers metrics and serves them over HTTP.
 type Registry struct{ registry *prometheus.Registry }
 
 // NewRegistry returns an empty Registry.
 func NewRegistry() *Registry { return &Registry{registry: prometheus.NewRegistry()} }
 
-// Set is the metrics of one node.
+// Set holds the metrics of a node that serves pipeline requests. It implements
+// frontdoor.Observer and pipeline.Observer.
 type Set struct {
 	*Registry
 	requests *prometheus.CounterVec
@@ -30,7 +32,7 @@
 	wastedMS *prometheus.CounterVec
 }
 
-// New returns an empty set with the Go runtime's own metrics.
+// New returns a Set with its metrics registered.
 func New() *Set {
 	s := &Set{
 		Registry: NewRegistry(),
@@ -58,23 +60,23 @@
 	return s
 }
 
-// Gauge adds a gauge that is read when metrics are collected.
+// Gauge adds a gauge. read returns its value and is called when metrics are collected.
 func (s *Registry) Gauge(name, help string, read func() float64) {
 	s.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, read))
 }
 
-// Counter adds a counter that is read when metrics are collected.
+// Counter adds a counter. read returns its value and is called when metrics are collected.
 func (s *Registry) Counter(name, help string, read func() float64) {
 	s.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, read))
 }
 
-// GaugeVec adds gauges of one name that differ by a label and are read when
-// metrics are collected.
+// GaugeVec adds gauges with one name and one label. read returns the value for each
+// label value; it is called when metrics are collected.
 func (s *Registry) GaugeVec(name, help, label string, read func() map[string]float64) {
 	s.registry.MustRegister(&gaugeVec{desc: prometheus.NewDesc(name, help, []string{label}, nil), read: read})
 }
 
-// gaugeVec implements prometheus.Collector.
+// gaugeVec is a prometheus.Collector whose gauges are read when they are collected.
 type gaugeVec struct {
 	desc *prometheus.Desc
 	read func() map[string]float64
@@ -90,7 +92,7 @@
 	}
 }
 
-// Handler serves the metrics.
+// Handler returns an HTTP handler that serves the metrics.
 func (s *Registry) Handler() http.Handler {
 	return promhttp.HandlerFor(s.registry, promhttp.HandlerOpts{})
 }
