--- a/internal/boundedlog/boundedlog.go
+++ b/internal/boundedlog/boundedlog.go
@@ -1,6 +1,6 @@
-// Package boundedlog writes log lines without ever blocking those who log:
-// lines wait in a bounded buffer, and what does not fit is counted and reported
-// with the next line that does.
+// Package boundedlog writes log lines without blocking the caller. Lines are held
+// in a bounded buffer; those that do not fit are dropped, and the number of dropped
+// lines is logged at the next flush.
 package boundedlog
 
 import (
@@ -13,18 +13,20 @@
 )
 
 const (
-	// bufferBytes bounds the lines that wait: about 4,000 lines, a few seconds
-	// of a node at full load.
+	// bufferBytes bounds the buffered lines, in bytes: about 4,000 lines, which a
+	// node at full load logs in a few seconds.
 	bufferBytes = 1 << 20
-	// gather is how long lines are gathered for one write.
-	gather = 20 * time.Millisecond
+	// flushDelay is how long lines are collected before they are written together.
+	flushDelay = 20 * time.Millisecond
 )
 
-// Writer is an io.Writer that never blocks. Each Write must be one whole line.
+// Writer is an io.Writer whose Write never waits for the output. Each Write must be one whole line.
 type Writer struct {
-	out     io.Writer
+	out io.Writer
+	// dropped counts the lines dropped since the last flush.
 	dropped atomic.Int64
-	total   atomic.Int64
+	// total counts all dropped lines.
+	total atomic.Int64
 
 	mu   sync.Mutex
 	buf  bytes.Buffer
@@ -34,14 +36,15 @@
 	once sync.Once
 }
 
-// New returns a Writer to out and starts it.
+// New returns a Writer to out and starts the goroutine that flushes it.
 func New(out io.Writer) *Writer {
 	w := &Writer{out: out, wake: make(chan struct{}, 1), done: make(chan struct{}), end: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write implements io.Writer. It takes the line or drops it.
+// Write implements io.Writer. It buffers the line, or drops it if the
+// buffer is full, and never returns an error.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	if w.buf.Len()+len(line) > bufferBytes {
@@ -62,18 +65,19 @@
 // Dropped returns the number of lines that were dropped so far.
 func (w *Writer) Dropped() int64 { return w.total.Load() }
 
-// Close writes what waits and ends the Writer.
+// Close flushes the buffered lines and stops the Writer.
 func (w *Writer) Close() {
 	w.once.Do(func() { close(w.end) })
 	<-w.done
 }
 
+// run flushes the buffer after writes, until Close.
 func (w *Writer) run() {
 	defer close(w.done)
 	for {
 		select {
 		case <-w.wake:
-			time.Sleep(gather)
+			time.Sleep(flushDelay)
 			w.flush()
 		case <-w.end:
 			w.flush()
@@ -82,7 +86,8 @@
 	}
 }
 
-// flush writes all lines that wait. A failed write loses them: there is nowhere
+// flush writes all buffered lines, followed by a line that reports the dropped ones.
+// If the write fails, the lines are lost and the error is ignored, as there is nowhere
 // to report it.
 func (w *Writer) flush() {
 	w.mu.Lock()
--- a/internal/boundedlog/boundedlog_test.go
+++ b/internal/boundedlog/boundedlog_test.go
@@ -10,15 +10,15 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// stuck is a writer that blocks until it is let go.
-type stuck struct {
-	mu  sync.Mutex
-	let chan struct{}
-	out bytes.Buffer
+// blockedWriter is a writer that blocks until release is closed.
+type blockedWriter struct {
+	mu      sync.Mutex
+	release chan struct{}
+	out     bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.let
+func (s *blockedWriter) Write(p []byte) (int, error) {
+	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.out.Write(p)
@@ -27,7 +27,7 @@
 func TestStuckOutputNeitherBlocksNorLosesUncounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		out := &stuck{let: make(chan struct{})}
+		out := &blockedWriter{release: make(chan struct{})}
 		w := New(out)
 		line := []byte(strings.Repeat("x", 1023) + "\n")
 		const lines = 5000
@@ -37,7 +37,7 @@
 			c.Assert(n, qt.Equals, len(line))
 		}
 		c.Assert(w.Dropped() > 0, qt.IsTrue)
-		close(out.let)
+		close(out.release)
 		w.Close()
 		written := int64(strings.Count(out.out.String(), "x\n"))
 		c.Assert(written+w.Dropped(), qt.Equals, int64(lines))
--- a/internal/boundedlog/sampler.go
+++ b/internal/boundedlog/sampler.go
@@ -10,31 +10,33 @@
 )
 
 const (
-	// linesPerSecond is how many lines of one message pass in a second: ten times what
-	// a node logs at the peak of the size to design for (3,300 requests a second on 400
-	// nodes) and twice what it logs in the bursts of today.
+	// linesPerSecond is how many lines of one message pass unsampled in a second: ten
+	// times what a node logs at the peak load of the design (3,300 requests a second on
+	// 400 nodes) and twice what it logs in bursts at present.
 	linesPerSecond = 200
-	// keepOneIn is the share of the lines beyond it that pass.
-	keepOneIn = 10
-	// maxMessages bounds the messages that are counted. Messages are constants of the
-	// program; those beyond the bound pass.
+	// sampleOneIn is the sampling rate beyond linesPerSecond: one in sampleOneIn requests, or
+	// lines without a request, passes.
+	sampleOneIn = 10
+	// maxMessages bounds the number of distinct messages that are counted. Messages are
+	// constants of the program; lines of messages beyond the bound pass unsampled.
 	maxMessages = 512
-	// requestAttr is the attribute that names the request of a line.
+	// requestAttr is the attribute that holds the request ID of a line.
 	requestAttr = "request"
-	// skippedAttr tells on a line how many of its message were left out before it.
+	// skippedAttr is the attribute that holds how many lines of the same message were
+	// dropped since the last one that passed.
 	skippedAttr = "skipped"
 )
 
-// Sampler is a slog.Handler that lets only a share of repeated lines pass, so that the
-// volume is bounded whatever happens. Which requests are left out is drawn once by
-// request, the same at all nodes: of those that are kept all lines pass.
+// Sampler is a slog.Handler that samples repeated lines to limit the log volume. Lines are
+// sampled by a hash of their request ID, which gives the same result on all nodes: all lines
+// of a sampled request pass.
 type Sampler struct {
 	next  slog.Handler
 	state *sampleState
-	// request is the hash of the request of all lines of this handler; only of use
-	// where named is set.
-	request uint64
-	named   bool
+	// requestHash is the hash of the request ID of all lines of this handler, valid if
+	// hasRequest is set.
+	requestHash uint64
+	hasRequest  bool
 }
 
 // sampleState counts the lines of all handlers made from one Sampler.
@@ -43,14 +45,16 @@
 	messages map[string]*message
 }
 
-// message counts the lines of one message in the current second.
+// message counts the lines of one message.
 type message struct {
-	second  int64
-	lines   int
+	// second is the current second, in Unix time, and lines the number of lines in it.
+	second int64
+	lines  int
+	// skipped is the number of lines dropped since the last one that passed.
 	skipped int
 }
 
-// NewSampler returns a Sampler that passes lines on to next.
+// NewSampler returns a Sampler that passes sampled lines to next.
 func NewSampler(next slog.Handler) *Sampler {
 	return &Sampler{next: next, state: &sampleState{messages: make(map[string]*message)}}
 }
@@ -62,7 +66,7 @@
 
 // Handle implements slog.Handler.
 func (s *Sampler) Handle(ctx context.Context, r slog.Record) error {
-	pass, skipped := s.state.count(r.Message, r.Time, s.kept)
+	pass, skipped := s.state.count(r.Message, r.Time, s.inSample)
 	if !pass {
 		return nil
 	}
@@ -73,17 +77,18 @@
 	return s.next.Handle(ctx, r)
 }
 
-// kept reports whether a line beyond the bound passes; n is its number.
-func (s *Sampler) kept(n int) bool {
-	if s.named {
-		return s.request%keepOneIn == 0
+// inSample reports whether a line beyond linesPerSecond passes; n is its number within the
+// second, which decides for lines without a request.
+func (s *Sampler) inSample(n int) bool {
+	if s.hasRequest {
+		return s.requestHash%sampleOneIn == 0
 	}
-	return n%keepOneIn == 0
+	return n%sampleOneIn == 0
 }
 
-// count takes in a line and tells whether it passes, and how many of its message were
-// left out since the last one that did.
-func (st *sampleState) count(text string, at time.Time, kept func(n int) bool) (pass bool, skipped int) {
+// count counts a line and reports whether it passes, and how many lines of the same message
+// were dropped since the last one that passed.
+func (st *sampleState) count(text string, at time.Time, inSample func(n int) bool) (pass bool, skipped int) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	m := st.messages[text]
@@ -98,7 +103,7 @@
 		m.second, m.lines = second, 0
 	}
 	m.lines++
-	if m.lines > linesPerSecond && !kept(m.lines) {
+	if m.lines > linesPerSecond && !inSample(m.lines) {
 		m.skipped++
 		return false, 0
 	}
@@ -112,7 +117,7 @@
 	out.next = s.next.WithAttrs(attrs)
 	for _, a := range attrs {
 		if a.Key == requestAttr {
-			out.request, out.named = xxhash.Sum64String(a.Value.String()), true
+			out.requestHash, out.hasRequest = xxhash.Sum64String(a.Value.String()), true
 		}
 	}
 	return &out
--- a/internal/boundedlog/sampler_test.go
+++ b/internal/boundedlog/sampler_test.go
@@ -12,7 +12,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// line is what the tests read of a log line.
+// line holds the fields of a log line that the tests check.
 type line struct {
 	Msg     string
 	Request string
@@ -51,13 +51,13 @@
 			}
 		}
 		c.Assert(passed+skipped, qt.Equals, lines+1)
-		c.Assert(passed < 2*lines/keepOneIn+linesPerSecond, qt.IsTrue, qt.Commentf("%d", passed))
+		c.Assert(passed < 2*lines/sampleOneIn+linesPerSecond, qt.IsTrue, qt.Commentf("%d", passed))
 		c.Assert(got[len(got)-2].Msg, qt.Equals, "rare")
 	})
 }
 
-// Of a request that is kept all lines pass, at whichever node; of the others those that
-// came before the bound.
+// Beyond linesPerSecond all lines of a sampled request pass, on every node, and no lines of the
+// other requests.
 func TestRequestsAreKeptWhole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
