--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,4 +1,4 @@
-// Package explain finds the way of one request in the logs of several nodes.
+// Package explain extracts the steps of one request from the logs of several nodes.
 package explain
 
 import (
@@ -14,13 +14,14 @@
 	"github.com/rotisserie/eris"
 )
 
-// Step is one decision about a request.
+// Step is one log line about a request.
 type Step struct {
-	At    time.Time `json:"at"`
-	Node  string    `json:"node"`
-	What  string    `json:"what"`
-	Level string    `json:"level"`
-	// Fields are what decided and what came of it, in the order of the line.
+	At      time.Time `json:"at"`
+	Node    string    `json:"node"`
+	Message string    `json:"what"`
+	Level   string    `json:"level"`
+	// Fields are the other fields of the line, in its order: the inputs of a decision and
+	// its result.
 	Fields []Field `json:"fields"`
 }
 
@@ -33,8 +34,9 @@
 // maxLine bounds one log line, in bytes.
 const maxLine = 1 << 20
 
-// Read adds the steps of a request from one log. Lines may have words before
-// their JSON; lines that are no JSON are passed over and counted.
+// Read returns the steps of a request from one log. A line may have text before its
+// JSON object. Lines that contain the request's ID but no valid JSON are skipped and
+// counted in skipped.
 func Read(r io.Reader, request string) (steps []Step, skipped int, err error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 0, 64<<10), maxLine)
@@ -49,20 +51,21 @@
 			skipped++
 			continue
 		}
-		s, about, err := parse(line[start:], request)
+		s, matches, err := parse(line[start:], request)
 		if err != nil {
 			skipped++
 			continue
 		}
-		if about {
+		if matches {
 			steps = append(steps, s)
 		}
 	}
 	return steps, skipped, eris.Wrap(lines.Err(), "read log")
 }
 
-// parse reads one line and tells whether it is about the request.
-func parse(line []byte, request string) (s Step, about bool, err error) {
+// parse parses the JSON object of a log line and reports whether the line refers to the
+// request.
+func parse(line []byte, request string) (s Step, matches bool, err error) {
 	dec := json.NewDecoder(bytes.NewReader(line))
 	if _, err := dec.Token(); err != nil {
 		return s, false, err
@@ -77,14 +80,14 @@
 			return s, false, err
 		}
 		field := fmt.Sprint(name)
-		about = about || names(field, value, request)
+		matches = matches || refersTo(field, value, request)
 		s.set(field, value)
 	}
-	return s, about, nil
+	return s, matches, nil
 }
 
-// names reports whether a field says that the line is about the request.
-func names(field string, value json.RawMessage, request string) bool {
+// refersTo reports whether a field holds the ID of the request.
+func refersTo(field string, value json.RawMessage, request string) bool {
 	switch field {
 	case "request":
 		var id string
@@ -96,6 +99,8 @@
 	return false
 }
 
+// set sets the member of s that corresponds to a log field, or appends to Fields. It
+// ignores the fields that hold request IDs.
 func (s *Step) set(field string, value json.RawMessage) {
 	var dst any
 	switch field {
@@ -104,7 +109,7 @@
 	case "node":
 		dst = &s.Node
 	case "msg":
-		dst = &s.What
+		dst = &s.Message
 	case "level":
 		dst = &s.Level
 	case "request", "requests":
@@ -115,19 +120,19 @@
 	}
 }
 
-// Sort orders steps by time; those of one moment keep their order.
+// Sort sorts steps by time. Steps with equal times keep their order.
 func Sort(steps []Step) {
 	slices.SortStableFunc(steps, func(a, b Step) int { return a.At.Compare(b.At) })
 }
 
-// Write prints steps, one a line, with the time since the first.
+// Write prints steps, one per line, with the time in seconds since the first.
 func Write(w io.Writer, steps []Step) error {
 	for _, s := range steps {
 		var fields []string
 		for _, f := range s.Fields {
 			fields = append(fields, f.Name+"="+strings.Trim(string(f.Value), `"`))
 		}
-		_, err := fmt.Fprintf(w, "%s %+9.3fs  %-20s %-32s %s\n", s.At.Format("15:04:05.000"), s.At.Sub(steps[0].At).Seconds(), s.Node, s.What, strings.Join(fields, " "))
+		_, err := fmt.Fprintf(w, "%s %+9.3fs  %-20s %-32s %s\n", s.At.Format("15:04:05.000"), s.At.Sub(steps[0].At).Seconds(), s.Node, s.Message, strings.Join(fields, " "))
 		if err != nil {
 			return err
 		}
