--- a/internal/settings/checks.go
+++ b/internal/settings/checks.go
@@ -7,6 +7,7 @@
 	"topazmoor/internal/strictjson"
 )
 
+// sha256Len is the length of a SHA-256 sum, in bytes.
 const sha256Len = 32
 
 func required(p *strictjson.Problems, path, v string) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,7 @@
-// Package settings defines what a process is told at its start: who it is,
-// where it listens, where the platform is, and how the pools of targets
-// behave. What changes while the system runs (templates, client accounts,
-// drains) is not here but in the catalog.
+// Package settings defines the settings that a process reads at its start: its
+// identity, its listening addresses, the address of the platform, and the
+// configuration of the pools of targets. Configuration that changes at run time
+// (templates, client accounts, drains) is in the catalog.
 //
 // The field comments are the reference manual; docs/examples/settings.hujson
 // shows every setting.
@@ -21,24 +21,24 @@
 	"topazmoor/internal/strictjson"
 )
 
-// Duration is a length of time written such as "9s".
+// Duration is a time.Duration written as a string such as "9s".
 type Duration = strictjson.Duration
 
 // Settings are the settings of one node.
 type Settings struct {
-	// Node says who this process is.
+	// Node identifies this process.
 	Node Node `json:"node" need:"true"`
-	// Listen gives the addresses that the node serves.
+	// Listen configures the addresses on which the node listens.
 	Listen Listen `json:"listen" need:"true"`
-	// Platform says where the table service, object store and host list are.
+	// Platform locates the table service, object store and host list.
 	Platform Platform `json:"platform" need:"true"`
 	// Peers configures the connections between nodes.
 	Peers Peers `json:"peers" need:"true"`
 	// Operators may use the administration API.
 	Operators []Operator `json:"operators"`
-	// Pools lists the pools of targets and how each behaves.
+	// Pools lists the pools of targets and their configuration.
 	Pools []Pool `json:"pools" need:"true"`
-	// Limits bounds what a caller can make the node hold.
+	// Limits bounds the resources that callers can occupy on the node.
 	Limits Limits `json:"limits"`
 	// Stop configures the graceful shutdown.
 	Stop Stop `json:"stop"`
@@ -52,13 +52,13 @@
 type Node struct {
 	// Name is unique among the nodes.
 	Name string `json:"name" need:"true"`
-	// DataCentre is where the host stands; calls stay there when they can.
+	// DataCentre is the data centre of the host; calls stay within it where possible.
 	DataCentre string `json:"data_centre" need:"true"`
-	// Region groups data centres; empty where there is only one.
+	// Region groups data centres; empty if there is only one.
 	Region string `json:"region"`
 }
 
-// Listen gives the addresses of a node.
+// Listen configures the listening addresses of a node.
 type Listen struct {
 	// Caller serves the caller API.
 	Caller Listener `json:"caller" need:"true"`
@@ -85,7 +85,8 @@
 	// CertFile and KeyFile are PEM files.
 	CertFile string `json:"cert_file" need:"true"`
 	KeyFile  string `json:"key_file" need:"true"`
-	// ClientCAFile, when set, demands client certificates signed by it.
+	// ClientCAFile, if set, is a PEM file of CA certificates; clients must present a
+	// certificate signed by one of them.
 	ClientCAFile string `json:"client_ca_file"`
 }
 
@@ -93,7 +94,7 @@
 type Platform struct {
 	// Addr is IP:port of the platform's HTTP interface.
 	Addr string `json:"addr" need:"true"`
-	// Timeout ends each call to the platform. Default 2s.
+	// Timeout bounds each call to the platform. Default 2s.
 	Timeout Duration `json:"timeout"`
 	// ConfigPoll is the interval between reads of the configuration head.
 	// Default 3s.
@@ -104,28 +105,28 @@
 type Peers struct {
 	// Seeds are the peer addresses (IP:port) that a new node tries first.
 	Seeds []string `json:"seeds"`
-	// KeyFile holds the secret (32 bytes or more) that all nodes share; nodes
-	// prove to each other that they know it.
+	// KeyFile holds the secret (32 bytes or more) that all nodes share and
+	// authenticate each other with.
 	KeyFile string `json:"key_file" need:"true"`
 	// Interval is the time between two gossip rounds. Default 1s.
 	Interval Duration `json:"interval"`
-	// SuspectAfter is how long a peer may be silent before it is taken as
-	// failed. Default 5s.
+	// SuspectAfter is the time without messages from a peer after which it is
+	// considered failed. Default 5s.
 	SuspectAfter Duration `json:"suspect_after"`
 }
 
 // Operator is a person or script that may use the administration API.
 type Operator struct {
-	// Name stands in the audit trail.
+	// Name identifies the operator in the audit trail.
 	Name string `json:"name" need:"true"`
 	// TokenSHA256 is the SHA-256 of the token in hex; the token itself is
 	// never stored. `topazmoor check --hash TOKEN` prints it.
 	TokenSHA256 string `json:"token_sha256" need:"true"`
-	// ReadOnly forbids changes.
+	// ReadOnly denies the operator all changes.
 	ReadOnly bool `json:"read_only"`
 }
 
-// PoolKind is the protocol that the targets of a pool speak.
+// PoolKind is the protocol of the targets of a pool.
 type PoolKind string
 
 // The kinds of pools.
@@ -146,39 +147,39 @@
 	Name string `json:"name" need:"true"`
 	// Kind is one of encode, retrieve, rerank, generate, service.
 	Kind PoolKind `json:"kind" need:"true"`
-	// Path is the path of a service's calls; only for kind service.
+	// Path is the URL path of calls to a target; only for kind service.
 	// Default "/v1/call".
 	Path string `json:"path"`
 	// RefusalStatuses are the HTTP statuses by which a target of this pool
 	// states that it did not start the call. Default 429. Add a status only if
-	// the target documents it so: topazmoor tells callers "not run" on the
-	// strength of it.
+	// the target documents this meaning: topazmoor reports such calls to callers
+	// as "not run".
 	RefusalStatuses []int `json:"refusal_statuses"`
-	// EchoesIdentity says that targets return the Topazmoor-Attempt header of
-	// the call, so that a misdirected answer is noticed. Default true.
+	// EchoesIdentity states that targets return the Topazmoor-Attempt header of
+	// the call, so that a misdirected answer is detected. Default true.
 	EchoesIdentity *bool `json:"echoes_identity"`
-	// HonoursFencing says that targets refuse an order with an old fencing
+	// HonoursFencing states that targets refuse an order with an old fencing
 	// number. Orders are safe without it too, but may be corrected later.
 	HonoursFencing bool `json:"honours_fencing"`
 	// Balance lets the engines of the pool be ordered to load other models when
-	// one model is short of engines and another has room. Default false.
+	// one model lacks engines and another has free capacity. Default false.
 	Balance bool `json:"balance"`
 }
 
 // Echoes returns EchoesIdentity or its default.
 func (p Pool) Echoes() bool { return p.EchoesIdentity == nil || *p.EchoesIdentity }
 
-// Limits bounds what callers can make a node hold.
+// Limits bounds the resources that callers can occupy on a node.
 type Limits struct {
 	// BodyBytes is the largest request body. Default 1 MiB.
 	BodyBytes int64 `json:"body_bytes"`
-	// ReadTimeout ends the reading of one request's header and body.
+	// ReadTimeout bounds the time to read one request's header and body.
 	// Default 5s.
 	ReadTimeout Duration `json:"read_timeout"`
-	// Requests is the number of requests that the node works on at once;
-	// more are refused at once. Default 4096.
+	// Requests is the maximum number of requests that the node processes
+	// concurrently; further ones are refused immediately. Default 4096.
 	Requests int `json:"requests"`
-	// Connections is the number of open caller connections. Default 8192.
+	// Connections is the maximum number of open caller connections. Default 8192.
 	Connections int `json:"connections"`
 	// AnswerBytes is the largest answer of one stage. Default 8 MiB.
 	AnswerBytes int64 `json:"answer_bytes"`
@@ -186,8 +187,8 @@
 
 // Stop configures the graceful shutdown.
 type Stop struct {
-	// BalancerLag is how long the node goes on accepting after its readiness
-	// fell, so that the balancer notices. Default 3s.
+	// BalancerLag is how long the node continues to accept requests after it
+	// reports that it is not ready, so that the load balancer can detect it. Default 3s.
 	BalancerLag Duration `json:"balancer_lag"`
 	// Drain bounds the wait for requests in flight. Default 30s.
 	Drain Duration `json:"drain"`
@@ -195,13 +196,13 @@
 
 // Ledger configures claims of idempotency keys.
 type Ledger struct {
-	// RepeatWindow is how long a key is remembered. Default 24h.
+	// RepeatWindow is how long a repeated key is recognised. Default 24h.
 	RepeatWindow Duration `json:"repeat_window"`
-	// CommitInterval is the least time between two grouped commits of one
-	// node. It and the number of committers set the writes a second.
-	// Default 40ms: with 8 committers at most 200 writes a second.
+	// CommitInterval is the minimum time between two grouped commits of one
+	// node. Together with Committers it bounds the writes per second.
+	// Default 40ms: with 8 committers at most 200 writes per second.
 	CommitInterval Duration `json:"commit_interval"`
-	// Committers is how many nodes at most commit claims; the others send
+	// Committers is the maximum number of nodes that commit claims; the others send
 	// theirs to one of them. Default 8.
 	Committers int `json:"committers"`
 	// TicketLife is how long a request ticket can be redeemed. Default 15m.
@@ -216,8 +217,8 @@
 	Format string `json:"format"`
 }
 
-// Parse reads settings from JSON with comments, fills in the defaults and
-// validates. The error is a strictjson.Problems with every fault.
+// Parse reads settings from JSON with comments, sets the defaults and validates
+// the result. For faulty settings the error is a strictjson.Problems with every fault.
 func Parse(src []byte) (Settings, error) {
 	var s Settings
 	var probs strictjson.Problems
@@ -241,6 +242,7 @@
 	return Parse(src)
 }
 
+// defaultTo sets *v to d if it is the zero value.
 func defaultTo[T comparable](v *T, d T) {
 	var zero T
 	if *v == zero {
@@ -248,7 +250,7 @@
 	}
 }
 
-// SetDefaults fills in what was left out.
+// SetDefaults sets the settings that were left out to their defaults.
 func (s *Settings) SetDefaults() {
 	defaultTo(&s.Platform.Timeout, Duration(2*time.Second))
 	defaultTo(&s.Platform.ConfigPoll, Duration(3*time.Second))
@@ -277,6 +279,7 @@
 	}
 }
 
+// validate returns the faults of settings that were decoded.
 func (s *Settings) validate() strictjson.Problems {
 	var p strictjson.Problems
 	required(&p, "node.name", s.Node.Name)
@@ -350,7 +353,7 @@
 	}
 }
 
-// Config returns the tls.Config of a listener, or nil for plain TCP.
+// Config returns the tls.Config of a listener, or nil if t is nil (plain TCP).
 func (t *TLS) Config() (*tls.Config, error) {
 	if t == nil {
 		return nil, nil
@@ -376,8 +379,8 @@
 }
 
 // DialConfig returns the tls.Config with which a node dials listeners that have
-// the same settings: it presents the certificate and trusts ClientCAFile. It
-// is nil for plain TCP.
+// the same settings: it presents the certificate and trusts ClientCAFile, or the
+// system's CAs if that is empty. It is nil if t is nil (plain TCP).
 func (t *TLS) DialConfig() (*tls.Config, error) {
 	cfg, err := t.Config()
 	if cfg == nil || err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -56,7 +56,7 @@
 	c.Assert(paths["node.colour"], qt.Contains, "not a known field")
 	c.Assert(paths["node.data_centre"], qt.Contains, "is missing: write a string")
 	c.Assert(paths["listen.admin.addr"], qt.Contains, "the number 7: write a string")
-	// Faults of form and of meaning come together, one for each path.
+	// Decoding and validation faults are reported together, at most one per path.
 	c.Assert(paths["listen.caller.addr"], qt.Contains, `"localhost:1" is not an IP number`)
 	c.Assert(probs, qt.HasLen, len(paths))
 	c.Assert(paths["platform.timeout"], qt.Contains, `write a duration such as "9s"`)
