--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -1,9 +1,8 @@
 // Package strictjson decodes JSON with comments (hujson) into Go structs and
-// reports everything that is wrong with the input at once: unknown fields,
-// wrong types and missing required fields, each with its path and what to
-// write instead.
+// reports all faults of the input at once: unknown fields, wrong types and missing
+// required fields, each with its path and what to write instead.
 //
-// A field is required when it has the tag `need:"true"`.
+// A field is required if it has the tag `need:"true"`.
 package strictjson
 
 import (
@@ -23,11 +22,11 @@
 type Problem struct {
 	// Path locates the value, such as "listen.caller.addr".
 	Path string `json:"path"`
-	// Reason says what is wrong and what to write instead.
+	// Reason describes the fault and what to write instead.
 	Reason string `json:"reason"`
 }
 
-// Problems is a list of faults; it is an error when it is not empty.
+// Problems is a list of faults. Err returns it as an error if it is not empty.
 type Problems []Problem
 
 // Add appends a fault.
@@ -35,7 +34,7 @@
 	*p = append(*p, Problem{Path: path, Reason: fmt.Sprintf(format, args...)})
 }
 
-// Merge adds the faults of more whose paths have none yet.
+// Merge adds those faults of more whose paths have no fault in p yet.
 func (p *Problems) Merge(more Problems) {
 	known := make(map[string]bool, len(*p))
 	for _, pr := range *p {
@@ -48,7 +47,7 @@
 	}
 }
 
-// Err returns p as an error, or nil when there is no fault.
+// Err returns p as an error, or nil if p is empty.
 func (p Problems) Err() error {
 	if len(p) == 0 {
 		return nil
@@ -56,7 +55,7 @@
 	return p
 }
 
-// Error implements error with one line a fault.
+// Error implements error, with one line per fault.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, pr := range p {
@@ -91,8 +90,9 @@
 }
 
 // Decode reads JSON with comments from src into out, a pointer to a struct.
-// The error is a Problems with every fault found; out then holds what is sound,
-// so that the caller can look for faults of meaning in the same go.
+// For a faulty input the error is a Problems with every fault found; out then holds the
+// valid values, unless the input isn't JSON, so that the caller can validate them and report
+// all faults together.
 func Decode(src []byte, out any) error {
 	std, err := hujson.Standardize(bytes.Clone(src))
 	if err != nil {
@@ -108,7 +108,7 @@
 }
 
 // DecodeTree decodes a parsed JSON value (numbers as json.Number) into out. It
-// removes faulty values from tree.
+// removes unknown fields and most faulty values from tree.
 func DecodeTree(tree, out any) error {
 	var probs Problems
 	check(&probs, "", tree, reflect.TypeOf(out).Elem())
@@ -125,6 +125,7 @@
 
 var unmarshalerType = reflect.TypeFor[json.Unmarshaler]()
 
+// check adds the faults of v, a JSON value to be decoded into type t, to probs.
 func check(probs *Problems, path string, v any, t reflect.Type) {
 	if reflect.PointerTo(t).Implements(unmarshalerType) {
 		checkCustom(probs, path, v, t)
@@ -151,6 +152,7 @@
 	}
 }
 
+// checkCustom checks v by decoding it with the UnmarshalJSON method of t.
 func checkCustom(probs *Problems, path string, v any, t reflect.Type) {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -163,6 +165,8 @@
 	}
 }
 
+// checkStruct checks v against the struct type t. It removes unknown fields from v, and
+// faulty ones whose type contains no structs.
 func checkStruct(probs *Problems, path string, v any, t reflect.Type) {
 	obj, ok := v.(map[string]any)
 	if !ok {
@@ -184,18 +188,18 @@
 		}
 		before := len(*probs)
 		check(probs, join(path, key), obj[key], f.Type)
-		if len(*probs) > before && !holdsStructs(f.Type) {
+		if len(*probs) > before && !containsStructs(f.Type) {
 			delete(obj, key)
 		}
 	}
 }
 
-// holdsStructs reports whether values of t contain structs, whose own sound
-// fields are kept when one is faulty.
-func holdsStructs(t reflect.Type) bool {
+// containsStructs reports whether t is or contains a struct. If one field of such a struct
+// is faulty, its valid fields are still decoded.
+func containsStructs(t reflect.Type) bool {
 	switch t.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Map:
-		return holdsStructs(t.Elem())
+		return containsStructs(t.Elem())
 	}
 	return t.Kind() == reflect.Struct
 }
@@ -235,6 +239,7 @@
 	}
 }
 
+// fieldsOf returns the exported fields of the struct type t by JSON name.
 func fieldsOf(t reflect.Type) map[string]reflect.StructField {
 	out := make(map[string]reflect.StructField)
 	for _, f := range reflect.VisibleFields(t) {
@@ -262,6 +267,7 @@
 	return path + "." + key
 }
 
+// orRoot returns path, or "(input)" for the path of the whole input.
 func orRoot(path string) string {
 	if path == "" {
 		return "(input)"
@@ -269,6 +275,7 @@
 	return path
 }
 
+// kindOf describes the JSON value v for a Problem.
 func kindOf(v any) string {
 	switch x := v.(type) {
 	case nil:
@@ -287,6 +294,7 @@
 	return "a value of another type"
 }
 
+// describe describes the JSON value that type t requires.
 func describe(t reflect.Type) string {
 	if t == reflect.TypeFor[Duration]() {
 		return `a duration such as "9s"`
@@ -307,7 +315,7 @@
 }
 
 // FieldNames returns the JSON names of all fields of the struct v and of the
-// structs inside it, for checks that examples are complete.
+// structs inside it. Tests use it to check that examples are complete.
 func FieldNames(v any) []string {
 	seen := make(map[string]bool)
 	collectNames(seen, reflect.TypeOf(v))
