--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller is a client of the caller API. It never repeats a request by
-// itself; the demo, the load command and tests use it.
+// Package caller is an HTTP client of the caller API. It never retries a
+// request. The demo, the load command and tests use it.
 package caller
 
 import (
@@ -21,34 +21,42 @@
 	"topazmoor/internal/frontdoor"
 )
 
-// Request is one run call.
+// Request describes one call that runs a pipeline.
 type Request struct {
-	// Addr is IP:port of an entry node and Token the account's token.
+	// Addr is the IP:port of an entry node, Token the token of the client
+	// account.
 	Addr, Token string
 	Pipeline    string
 	Input       any
 	// Key is the request key; empty for none.
-	Key      string
+	Key string
+	// Class is the priority class and Deadline the time allowed for the
+	// request. An empty Class or a Deadline of 0 sends no such header.
 	Class    string
 	Deadline time.Duration
-	Stream   bool
+	// Stream asks for the answer as a stream of events.
+	Stream bool
 }
 
-// Result is the answer to one run call: either Reply or Problem is set.
+// Result is the complete answer to one Request: either Reply or Problem is set.
 type Result struct {
-	Status   int
-	Reply    *frontdoor.Reply
-	Problem  *frontdoor.Problem
+	// Status is the HTTP status code.
+	Status  int
+	Reply   *frontdoor.Reply
+	Problem *frontdoor.Problem
+	// Replayed says whether the answer has the header frontdoor.HeaderReplayed.
 	Replayed bool
 	// Tokens are the streamed tokens in the order of arrival, First the time
-	// to the first one and Gaps the times between them.
+	// from the start of the call to the first token and Gaps the times between
+	// consecutive tokens.
 	Tokens []dispatch.Token
 	First  time.Duration
 	Gaps   []time.Duration
-	Took   time.Duration
+	// Took is the time from the start of the call to the end of the answer.
+	Took time.Duration
 }
 
-// Verdict returns "ran" for an answer, the verdict of a refusal otherwise.
+// Verdict returns the verdict of Problem, or "ran" if there is none.
 func (r *Result) Verdict() string {
 	if r.Problem != nil {
 		return r.Problem.Verdict
@@ -59,25 +67,27 @@
 // Client sends requests. It is safe for concurrent use.
 type Client struct{ http *http.Client }
 
-// Dial opens a connection; net.Dialer.DialContext in production.
+// Dial opens a connection. Production code uses net.Dialer.DialContext.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// New returns a Client.
+// New returns a Client that opens its connections with dial.
 func New(dial Dial) *Client {
 	tr := &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 256, IdleConnTimeout: 20 * time.Second}
 	return &Client{http: &http.Client{Transport: tr}}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// opaque hides the type of a reader, so that net/http cannot repeat the call.
-type opaque struct{ io.Reader }
+// opaqueReader hides the type of a reader: net/http then can't rewind the body
+// and doesn't retry a request after it began to read the body.
+type opaqueReader struct{ io.Reader }
 
-// Run sends one request. An error means that no complete answer arrived.
+// Run sends one request and reads its answer. An error means that no complete
+// answer arrived or that it could not be decoded.
 func (c *Client) Run(ctx context.Context, q Request) (*Result, error) {
 	start := time.Now()
-	req, err := q.build(ctx)
+	req, err := q.buildRequest(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -96,13 +106,13 @@
 	return res, err
 }
 
-func (q *Request) build(ctx context.Context) (*http.Request, error) {
+func (q *Request) buildRequest(ctx context.Context) (*http.Request, error) {
 	body, err := json.Marshal(map[string]any{"input": q.Input, "stream": q.Stream})
 	if err != nil {
 		return nil, eris.Wrap(err, "encode request")
 	}
 	url := "http://" + q.Addr + frontdoor.PathRun + q.Pipeline
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, opaque{bytes.NewReader(body)})
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, opaqueReader{bytes.NewReader(body)})
 	if err != nil {
 		return nil, eris.Wrap(err, "build request")
 	}
@@ -137,12 +147,12 @@
 	return eris.Wrap(json.Unmarshal(body, r.Reply), "decode answer")
 }
 
-// maxEvent bounds one event, in bytes.
-const maxEvent = 16 << 20
+// maxEventLine limits one line of an event stream, in bytes.
+const maxEventLine = 16 << 20
 
 func (r *Result) readEvents(body io.Reader, start time.Time) error {
 	lines := bufio.NewScanner(body)
-	lines.Buffer(make([]byte, 0, 4096), maxEvent)
+	lines.Buffer(make([]byte, 0, 4096), maxEventLine)
 	event, last := "", start
 	for lines.Scan() {
 		if name, ok := strings.CutPrefix(lines.Text(), "event: "); ok {
@@ -160,7 +170,7 @@
 		if err := json.Unmarshal(data, &t); err != nil {
 			return eris.Wrap(err, "decode token")
 		}
-		last = r.note(t, start, last)
+		last = r.recordToken(t, start, last)
 	}
 	if err := lines.Err(); err != nil {
 		return eris.Wrap(err, "read events")
@@ -168,7 +178,9 @@
 	return eris.New("the stream ended without an answer")
 }
 
-func (r *Result) note(t dispatch.Token, start, last time.Time) time.Time {
+// recordToken appends a token and its delay, and returns its arrival time. last
+// is the arrival time of the token before.
+func (r *Result) recordToken(t dispatch.Token, start, last time.Time) time.Time {
 	now := time.Now()
 	if len(r.Tokens) == 0 {
 		r.First = now.Sub(start)
@@ -186,14 +198,15 @@
 	return t.Ticket, err
 }
 
-// SubmitBatch submits a batch; key makes a repeat find the same batch.
+// SubmitBatch submits a batch. A repeated call with the same key returns the same
+// batch.
 func (c *Client) SubmitBatch(ctx context.Context, addr, token, key string, req batch.SubmitRequest) (batch.Status, error) {
 	var st batch.Status
 	err := c.call(ctx, http.MethodPost, addr, batch.PathBatches, token, key, req, &st)
 	return st, err
 }
 
-// BatchStatus describes a batch.
+// BatchStatus returns the status of a batch.
 func (c *Client) BatchStatus(ctx context.Context, addr, token, id string) (batch.Status, error) {
 	var st batch.Status
 	err := c.call(ctx, http.MethodGet, addr, batch.PathBatches+"/"+url.PathEscape(id), token, "", nil, &st)
@@ -207,7 +220,7 @@
 	return res, err
 }
 
-// RefusedError is a refusal by the node.
+// RefusedError is the error answer of a node: a status of 400 or above.
 type RefusedError struct{ frontdoor.Problem }
 
 // Error implements error.
@@ -215,13 +228,14 @@
 	return string(e.Code) + " (" + e.Verdict + "): " + e.Detail
 }
 
-// call makes one call with JSON bodies. A refusal is a *RefusedError.
+// call sends one request with a JSON body and decodes the answer into out. It
+// returns a *RefusedError for a status of 400 or above with a problem as body.
 func (c *Client) call(ctx context.Context, method, addr, path, token, key string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return eris.Wrap(err, "encode request")
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, opaque{bytes.NewReader(body)})
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, opaqueReader{bytes.NewReader(body)})
 	if err != nil {
 		return eris.Wrap(err, "build request")
 	}
