--- a/internal/standin/bubble/bubble.go
+++ b/internal/standin/bubble/bubble.go
@@ -1,5 +1,5 @@
-// Package bubble runs code in virtual time inside benchmarks, for which
-// testing/synctest itself has no entry.
+// Package bubble runs benchmarks in virtual time. synctest.Test takes only a
+// *testing.T, so the package starts a test inside the benchmark.
 package bubble
 
 import (
@@ -7,7 +7,7 @@
 	"testing/synctest"
 )
 
-// Run runs f in a synctest bubble.
+// Run runs f in a synctest bubble and fails b if the test around f fails.
 func Run(b *testing.B, f func()) {
 	b.Helper()
 	ok := testing.RunTests(func(string, string) (bool, error) { return true, nil }, []testing.InternalTest{{
--- a/internal/standin/fixedseed/fixedseed.go
+++ b/internal/standin/fixedseed/fixedseed.go
@@ -1,5 +1,6 @@
-// Package fixedseed makes rapid use the same seed in every run unless the
-// command line gives another. Import it for its effect in test files.
+// Package fixedseed sets the defaults of rapid's flags when it is imported: seed
+// 1, and no files for failing cases. Flags of the command line take precedence.
+// Test files import it for this side effect.
 package fixedseed
 
 import (
--- a/internal/standin/gate.go
+++ b/internal/standin/gate.go
@@ -8,8 +8,9 @@
 	"topazmoor/internal/store"
 )
 
-// Gate stands between one node and the platform, so that tests can cut, freeze
-// or kill the node alone. It implements store.Store.
+// Gate forwards the store calls of one node to inner, so that tests can
+// disconnect or freeze the node's access to the store without an effect on other
+// nodes. It implements store.Store.
 type Gate struct {
 	inner store.Store
 
@@ -18,17 +19,19 @@
 	frozen chan struct{}
 }
 
-// NewGate returns an open gate.
+// NewGate returns a Gate that forwards all calls to inner.
 func NewGate(inner store.Store) *Gate { return &Gate{inner: inner} }
 
-// SetCut refuses all calls while cut.
+// SetCut disconnects the node from the store, or connects it again. While it is
+// disconnected, calls fail with store.ErrUnavailable.
 func (g *Gate) SetCut(cut bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.cut = cut
 }
 
-// Freeze holds all calls, and answers of calls, until Thaw.
+// Freeze blocks new calls until Thaw, and also the answers of calls to Commit and
+// Changes that are under way.
 func (g *Gate) Freeze() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -37,7 +40,7 @@
 	}
 }
 
-// Thaw ends a freeze.
+// Thaw ends a freeze; it does nothing without one.
 func (g *Gate) Thaw() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -47,6 +50,8 @@
 	}
 }
 
+// wait blocks while the gate is frozen. It returns store.ErrUnavailable if the
+// node was disconnected when wait was called.
 func (g *Gate) wait() error {
 	g.mu.Lock()
 	frozen, cut := g.frozen, g.cut
@@ -60,8 +65,8 @@
 	return nil
 }
 
-// Commit implements store.Tables. A node that is cut off during the commit
-// does not get its answer.
+// Commit implements store.Tables. If the node is disconnected during the commit,
+// it gets store.ErrUnknown, whether or not the transaction was committed.
 func (g *Gate) Commit(ctx context.Context, tx store.Tx) (store.Version, error) {
 	if err := g.wait(); err != nil {
 		return store.Version{}, err
@@ -97,7 +102,8 @@
 	return g.inner.Snapshot(ctx, table, least)
 }
 
-// Changes implements store.Watchable.
+// Changes implements store.Watchable. If the node is disconnected during the
+// call, it gets store.ErrUnavailable.
 func (g *Gate) Changes(ctx context.Context, table string, after store.Version, wait time.Duration) (store.Changes, error) {
 	if err := g.wait(); err != nil {
 		return store.Changes{}, err
--- a/internal/standin/memnet/memnet.go
+++ b/internal/standin/memnet/memnet.go
@@ -1,5 +1,6 @@
-// Package memnet is an in-memory network for tests in virtual time: listeners
-// and connections by address, with partitions.
+// Package memnet is an in-memory network for tests in virtual time. It has
+// listeners, connections and datagram sockets by address, and simulates
+// partitions, paused hosts and connections that drop all data.
 package memnet
 
 import (
@@ -15,7 +16,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrRefused is returned by Dial when nobody listens or the path is cut.
+// ErrRefused is the error of a dial if no listener has the address, the listener
+// closes, a partition separates the hosts, or the dial is cancelled before the
+// listener accepts it.
 var ErrRefused = eris.New("memnet: connection refused")
 
 // Network connects dialers and listeners. The zero value is not usable; use
@@ -23,20 +26,20 @@
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
-	conns     map[*side]bool
+	conns     map[*endpoint]bool
 	sockets   map[string]*PacketConn
 	cut       func(from, to string) bool
 	frozen    map[string]chan struct{}
 	nextPort  uint16
-	// dialed counts the connections.
-	dialed int
+	// dialCount is the number of dials, those that fail included.
+	dialCount int
 }
 
 // New returns an empty network.
 func New() *Network {
 	return &Network{
 		listeners: make(map[string]*listener),
-		conns:     make(map[*side]bool),
+		conns:     make(map[*endpoint]bool),
 		sockets:   make(map[string]*PacketConn),
 		frozen:    make(map[string]chan struct{}),
 		cut:       func(string, string) bool { return false },
@@ -44,12 +47,13 @@
 	}
 }
 
-// SetCut replaces the partition: dials and connections between hosts for which
-// cut reports true fail at once. Hosts are IP numbers.
+// SetCut replaces the partition. If cut(from, to) returns true, dials by host from
+// to host to fail, datagrams in this direction are lost, and the connections that
+// from opened to to are closed at once. Hosts are IP addresses.
 func (n *Network) SetCut(cut func(from, to string) bool) {
 	n.mu.Lock()
 	n.cut = cut
-	var broken []*side
+	var broken []*endpoint
 	for s := range n.conns {
 		if cut(s.from, s.to) {
 			broken = append(broken, s)
@@ -61,8 +65,8 @@
 	}
 }
 
-// Freeze holds all traffic of a host, as if its process were paused, until
-// Thaw.
+// Freeze blocks the reads, writes and dials of a host until Thaw, as if its
+// process were paused.
 func (n *Network) Freeze(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -71,7 +75,7 @@
 	}
 }
 
-// Thaw ends a freeze.
+// Thaw ends the freeze of a host; it does nothing without one.
 func (n *Network) Thaw(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -81,13 +85,13 @@
 	}
 }
 
-// wait returns when the host is not frozen, or when done is closed; a nil done
-// never is.
-func (n *Network) wait(host string, done <-chan struct{}) { n.waitUntil(host, done, nil) }
+// awaitThaw blocks while the host is frozen, at most until done is closed. A nil
+// done sets no such limit.
+func (n *Network) awaitThaw(host string, done <-chan struct{}) { n.awaitThawUntil(host, done, nil) }
 
-// waitUntil does the same, but only until passed is closed. It reports whether it
-// was not.
-func (n *Network) waitUntil(host string, done, passed <-chan struct{}) bool {
+// awaitThawUntil is awaitThaw with a deadline: it returns false once expired is
+// closed while the host is frozen, and true otherwise.
+func (n *Network) awaitThawUntil(host string, done, expired <-chan struct{}) bool {
 	n.mu.Lock()
 	ch := n.frozen[host]
 	n.mu.Unlock()
@@ -97,14 +101,16 @@
 	select {
 	case <-ch:
 	case <-done:
-	case <-passed:
+	case <-expired:
 		return false
 	}
 	return true
 }
 
-// Silence makes the open connections between hosts for which match reports true
-// silent for good: nothing comes through, and neither end is told. New ones work.
+// Silence makes open connections silent for good: if match(from, to) returns true,
+// those that host from opened to host to. A silent connection drops all data, and
+// neither end gets an error or observes that the other end closes. Connections
+// that are opened later work.
 func (n *Network) Silence(match func(from, to string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -115,7 +121,7 @@
 	}
 }
 
-// Listen opens a listener on addr (IP:port; port 0 takes a free one).
+// Listen opens a listener on addr (IP:port; port 0 selects a free port).
 func (n *Network) Listen(addr string) (net.Listener, error) {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -136,7 +142,7 @@
 	return l, nil
 }
 
-// DialFrom returns a dial function for a host with this IP number.
+// DialFrom returns a dial function for a host with this IP address.
 func (n *Network) DialFrom(from string) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, _, addr string) (net.Conn, error) {
 		return n.dial(ctx, from, addr)
@@ -149,21 +155,22 @@
 		return nil, eris.Wrap(err, "memnet: address")
 	}
 	to := ap.Addr().String()
-	n.wait(from, ctx.Done())
+	n.awaitThaw(from, ctx.Done())
 	n.mu.Lock()
 	l := n.listeners[addr]
 	refused := l == nil || n.cut(from, to)
-	// Each connection has a port of its own, so that its target can tell it.
-	n.dialed++
-	port := uint16(n.dialed%math.MaxUint16) + 1
+	// Connections get different source ports (they repeat after 65535 dials), so
+	// that the server can tell them apart.
+	n.dialCount++
+	port := uint16(n.dialCount%math.MaxUint16) + 1
 	n.mu.Unlock()
 	if refused {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: ErrRefused}
 	}
 	a, b := net.Pipe()
 	silent := make(chan struct{})
-	client := &side{Conn: a, net: n, from: from, to: to, remote: ap, done: make(chan struct{}), silent: silent}
-	server := &side{Conn: b, net: n, from: to, to: from, remote: netip.AddrPortFrom(netip.MustParseAddr(from), port), done: make(chan struct{}), silent: silent}
+	client := &endpoint{Conn: a, net: n, from: from, to: to, remote: ap, done: make(chan struct{}), silent: silent}
+	server := &endpoint{Conn: b, net: n, from: to, to: from, remote: netip.AddrPortFrom(netip.MustParseAddr(from), port), done: make(chan struct{}), silent: silent}
 	n.mu.Lock()
 	n.conns[client] = true
 	n.mu.Unlock()
@@ -177,7 +184,7 @@
 	return nil, &net.OpError{Op: "dial", Net: "tcp", Err: ErrRefused}
 }
 
-// packet is one datagram on its way.
+// packet is a datagram that was sent and not yet read.
 type packet struct {
 	data []byte
 	from net.Addr
@@ -192,8 +199,9 @@
 	once sync.Once
 }
 
-// packetQueue is how many datagrams wait for a reader; more are lost.
-const packetQueue = 256
+// packetQueueLength limits the datagrams that wait for a reader of a socket.
+// Further ones are lost.
+const packetQueueLength = 256
 
 // ListenPacket opens a datagram socket on addr (IP:port).
 func (n *Network) ListenPacket(addr string) (*PacketConn, error) {
@@ -206,7 +214,7 @@
 	if n.sockets[addr] != nil {
 		return nil, eris.Errorf("memnet: %s is in use", addr)
 	}
-	c := &PacketConn{net: n, addr: ap, in: make(chan packet, packetQueue), done: make(chan struct{})}
+	c := &PacketConn{net: n, addr: ap, in: make(chan packet, packetQueueLength), done: make(chan struct{})}
 	n.sockets[addr] = c
 	return c, nil
 }
@@ -215,21 +223,21 @@
 func (c *PacketConn) ReadFrom(b []byte) (int, net.Addr, error) {
 	select {
 	case p := <-c.in:
-		c.net.wait(c.addr.Addr().String(), c.done)
+		c.net.awaitThaw(c.addr.Addr().String(), c.done)
 		return copy(b, p.data), p.from, nil
 	case <-c.done:
 		return 0, nil, net.ErrClosed
 	}
 }
 
-// WriteTo implements membership.PacketConn. Datagrams across a cut, to nobody
-// or to a full queue are lost.
+// WriteTo implements membership.PacketConn. Datagrams are lost if a partition
+// separates the hosts, no socket has the address or its queue is full.
 func (c *PacketConn) WriteTo(b []byte, to net.Addr) (int, error) {
 	dst, err := netip.ParseAddrPort(to.String())
 	if err != nil {
 		return 0, eris.Wrap(err, "memnet: address")
 	}
-	c.net.wait(c.addr.Addr().String(), c.done)
+	c.net.awaitThaw(c.addr.Addr().String(), c.done)
 	c.net.mu.Lock()
 	peer := c.net.sockets[dst.String()]
 	lost := peer == nil || c.net.cut(c.addr.Addr().String(), dst.Addr().String())
@@ -287,88 +295,92 @@
 // Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return net.TCPAddrFromAddrPort(l.addr) }
 
-// side is one end of a connection.
-type side struct {
+// endpoint is one end of a connection.
+type endpoint struct {
 	net.Conn
 	net      *Network
 	from, to string
 	remote   netip.AddrPort
 	done     chan struct{}
 	once     sync.Once
-	// silent is closed when the connection goes silent; both sides share it.
-	silent chan struct{}
-	// read is the deadline of reads.
-	read deadline
-	// pending was read from the pipe, but its reader gave up before it was thawed.
+	// silent is closed when the connection becomes silent (see Silence). Both ends
+	// share it.
+	silent       chan struct{}
+	readDeadline deadline
+	// pending is data that was read from the pipe but not yet returned, since the
+	// read deadline expired while the host was frozen or the buffer was too small.
 	pending []byte
 }
 
 // RemoteAddr implements net.Conn.
-func (s *side) RemoteAddr() net.Addr { return net.TCPAddrFromAddrPort(s.remote) }
+func (s *endpoint) RemoteAddr() net.Addr { return net.TCPAddrFromAddrPort(s.remote) }
 
-// Read implements net.Conn. A closed pipe reads as a reset, not as an end.
-func (s *side) Read(b []byte) (int, error) {
+// Read implements net.Conn. It returns net.ErrClosed after this end was closed.
+func (s *endpoint) Read(b []byte) (int, error) {
 	if len(s.pending) == 0 {
 		n, err := s.Conn.Read(b)
 		if err == io.ErrClosedPipe {
 			err = net.ErrClosed
 		}
-		if err != nil && s.isSilent() && !isClosed(s.done) && !isClosed(s.read.passed()) {
-			// The other end closed, and this one does not hear of it.
-			return 0, s.hang()
+		if err != nil && s.isSilent() && !isClosed(s.done) && !isClosed(s.readDeadline.expired()) {
+			// The other end closed; a silent connection does not report this.
+			return 0, s.blockRead()
 		}
 		if err != nil {
-			s.net.wait(s.from, s.done)
+			s.net.awaitThaw(s.from, s.done)
 			return n, err
 		}
 		s.pending = append(s.pending, b[:n]...)
 	}
-	if !s.net.waitUntil(s.from, s.done, s.read.passed()) {
+	if !s.net.awaitThawUntil(s.from, s.done, s.readDeadline.expired()) {
 		return 0, os.ErrDeadlineExceeded
 	}
 	if s.isSilent() {
-		return 0, s.hang()
+		return 0, s.blockRead()
 	}
 	n := copy(b, s.pending)
 	s.pending = s.pending[n:]
 	return n, nil
 }
 
-// hang blocks as a read of a silent connection does.
-func (s *side) hang() error {
+// blockRead blocks until this end is closed or its read deadline expires, as a
+// read of a silent connection does.
+func (s *endpoint) blockRead() error {
 	select {
 	case <-s.done:
 		return net.ErrClosed
-	case <-s.read.passed():
+	case <-s.readDeadline.expired():
 		return os.ErrDeadlineExceeded
 	}
 }
 
-// Write implements net.Conn. What is written to a silent connection is lost unseen.
-func (s *side) Write(b []byte) (int, error) {
-	s.net.wait(s.from, s.done)
+// Write implements net.Conn. On a silent connection the data is lost, and Write
+// reports success.
+func (s *endpoint) Write(b []byte) (int, error) {
+	s.net.awaitThaw(s.from, s.done)
 	if s.isSilent() {
 		return len(b), nil
 	}
 	return s.Conn.Write(b)
 }
 
-func (s *side) isSilent() bool { return isClosed(s.silent) }
+func (s *endpoint) isSilent() bool { return isClosed(s.silent) }
 
 // SetDeadline implements net.Conn.
-func (s *side) SetDeadline(t time.Time) error {
-	s.read.set(t)
+func (s *endpoint) SetDeadline(t time.Time) error {
+	s.readDeadline.set(t)
 	return s.Conn.SetDeadline(t)
 }
 
 // SetReadDeadline implements net.Conn.
-func (s *side) SetReadDeadline(t time.Time) error {
-	s.read.set(t)
+func (s *endpoint) SetReadDeadline(t time.Time) error {
+	s.readDeadline.set(t)
 	return s.Conn.SetReadDeadline(t)
 }
 
-// Close implements net.Conn. The other end of a silent connection does not hear of it.
-func (s *side) Close() error {
+// Close implements net.Conn. The other end of a silent connection does not observe
+// it.
+func (s *endpoint) Close() error {
 	s.net.mu.Lock()
 	delete(s.net.conns, s)
 	s.net.mu.Unlock()
@@ -376,15 +388,15 @@
 	return s.Conn.Close()
 }
 
-// deadline tells by a channel that its time has passed.
+// deadline closes a channel when its time is reached.
 type deadline struct {
 	mu    sync.Mutex
 	timer *time.Timer
 	ch    chan struct{}
 }
 
-// passed returns a channel that is closed once the deadline has passed.
-func (d *deadline) passed() <-chan struct{} {
+// expired returns a channel that is closed once the deadline is reached.
+func (d *deadline) expired() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.ch == nil {
@@ -393,7 +405,7 @@
 	return d.ch
 }
 
-// set replaces the deadline; the zero time is none.
+// set replaces the deadline. The zero time removes it.
 func (d *deadline) set(t time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -409,14 +421,14 @@
 		return
 	}
 	if until := time.Until(t); until > 0 {
-		d.timer = time.AfterFunc(until, func() { d.fire(ch) })
+		d.timer = time.AfterFunc(until, func() { d.expire(ch) })
 		return
 	}
 	close(ch)
 }
 
-// fire closes the channel of a deadline that was not replaced.
-func (d *deadline) fire(ch chan struct{}) {
+// expire closes the channel of a deadline that was not replaced.
+func (d *deadline) expire(ch chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.ch == ch && !isClosed(ch) && d.timer != nil {
--- a/internal/standin/target.go
+++ b/internal/standin/target.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins of the outside systems: targets of
-// every kind and the platform's HTTP interface, with faults that can be set.
-// They serve tests, the demo and the standin command.
+// Package standin has stand-ins for the systems that a node depends on: targets
+// of every kind with adjustable faults, and a store whose connection can fail.
+// Tests, the demo and the standin command use them.
 package standin
 
 import (
@@ -19,9 +19,9 @@
 	"topazmoor/internal/settings"
 )
 
-// TargetFaults are the failures of a Target. The zero value is healthy.
+// TargetFaults are the faults that a Target shows. The zero value has none.
 type TargetFaults struct {
-	// Refuse answers every call with 429 before starting it.
+	// Refuse answers every call with status 429 and does not start it.
 	Refuse bool `json:"refuse"`
 	// SlowFactor multiplies the service time; 0 means 1.
 	SlowFactor float64 `json:"slow_factor"`
@@ -30,31 +30,36 @@
 	// ResetAfter runs the next N calls and closes the connection instead of
 	// answering.
 	ResetAfter int `json:"reset_after"`
-	// CutAnswers runs the next N calls and cuts the answer in the middle.
+	// CutAnswers runs the next N calls and closes the connection after half of
+	// the bytes of the answer.
 	CutAnswers int `json:"cut_answers"`
 	// CutStreams ends the next N streams after half of their tokens.
 	CutStreams int `json:"cut_streams"`
-	// WrongIdentity runs the next N calls and answers them with the identity
-	// and the answer of another call.
+	// WrongIdentity runs the next N calls and answers each with a changed
+	// identity and, for bodies with a string as input, the answer to a changed
+	// input, as if it were the answer to another call.
 	WrongIdentity int `json:"wrong_identity"`
-	// Hang runs the next N calls and never answers.
+	// Hang starts the next N calls and never answers them: each occupies its
+	// slot until its caller cancels it.
 	Hang int `json:"hang"`
 }
 
 // TargetConfig describes a Target.
 type TargetConfig struct {
 	Kind settings.PoolKind
-	// Slots is how many calls are worked on at once; others wait.
+	// Slots limits the calls that run at the same time; others wait.
 	Slots int
-	// Service is the time of one call, or of one token of an engine.
+	// Service is the service time of one call, or of one token of an engine.
 	Service time.Duration
-	// Models lists the models of an engine; empty accepts any.
+	// Models lists the models of an engine. Target does not check calls against
+	// it.
 	Models []string
-	// LoadTime is the time to load models by order. HonoursFencing refuses
-	// orders with an old fencing number.
+	// LoadTime is the time from an order to load models until Loaded is called.
+	// With HonoursFencing, the target refuses an order whose fencing number is
+	// lower than one it received before.
 	LoadTime       time.Duration
 	HonoursFencing bool
-	// Loaded is told when an order is done.
+	// Loaded is called with the models of an order once they are loaded.
 	Loaded func(models []string)
 }
 
@@ -63,37 +68,37 @@
 	cfg   TargetConfig
 	slots chan struct{}
 
-	mu      sync.Mutex
-	faults  TargetFaults
-	runs    map[string]int
-	inputs  map[string][]time.Time
-	fencing int64
-	busy    int
-	waiting int
-	ended   int
+	mu         sync.Mutex
+	faults     TargetFaults
+	runs       map[string]int
+	startTimes map[string][]time.Time
+	fencing    int64
+	busy       int
+	waiting    int
+	ended      int
 }
 
-// NewTarget returns a healthy target.
+// NewTarget returns a target without faults.
 func NewTarget(cfg TargetConfig) *Target {
-	return &Target{cfg: cfg, slots: make(chan struct{}, cfg.Slots), runs: make(map[string]int), inputs: make(map[string][]time.Time)}
+	return &Target{cfg: cfg, slots: make(chan struct{}, cfg.Slots), runs: make(map[string]int), startTimes: make(map[string][]time.Time)}
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces all faults and their counts.
 func (t *Target) SetFaults(f TargetFaults) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.faults = f
 }
 
-// Runs returns how often the work of a request was started here, over all
-// stages and attempts.
+// Runs returns the number of calls that this target started for a request, over
+// all stages and attempts.
 func (t *Target) Runs(request string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.runs[request]
 }
 
-// TotalRuns returns how many calls were started.
+// TotalRuns returns the number of calls started, over all requests.
 func (t *Target) TotalRuns() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -104,20 +109,22 @@
 	return n
 }
 
-// Busy returns how many calls are being worked on.
+// Busy returns the number of calls that occupy a slot.
 func (t *Target) Busy() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.busy
 }
 
-// Load is the body of a load report.
+// Load is the body of the answer to /v1/load: the calls that occupy a slot and
+// those that wait for one.
 type Load struct {
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
 }
 
-// maxTargetBody bounds the body of a call to a stand-in.
+// maxTargetBody limits the body of a call or an order, in bytes. The rest of a
+// longer body is not read.
 const maxTargetBody = 8 << 20
 
 // ServeHTTP implements http.Handler.
@@ -127,10 +134,10 @@
 		return
 	}
 	if r.URL.Path == fleet.PathOrders {
-		t.order(w, r)
+		t.handleOrder(w, r)
 		return
 	}
-	if take(t, func(f *TargetFaults) *int { return &f.ResetBefore }) {
+	if consumeFault(t, func(f *TargetFaults) *int { return &f.ResetBefore }) {
 		panic(http.ErrAbortHandler)
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxTargetBody))
@@ -138,29 +145,29 @@
 		panic(http.ErrAbortHandler)
 	}
 	identity := r.Header.Get(dispatch.IdentityHeader)
-	mixedUp := take(t, func(f *TargetFaults) *int { return &f.WrongIdentity })
-	if mixedUp {
+	wrongIdentity := consumeFault(t, func(f *TargetFaults) *int { return &f.WrongIdentity })
+	if wrongIdentity {
 		identity = "another" + identity
 	}
 	w.Header().Set(dispatch.IdentityHeader, identity)
-	if t.current().Refuse {
+	if t.currentFaults().Refuse {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, `{"error":"overloaded"}`, http.StatusTooManyRequests)
 		return
 	}
-	if !t.enter(r) {
+	if !t.acquireSlot(r) {
 		return
 	}
-	defer t.leave()
-	t.run(w, r, body, mixedUp)
+	defer t.releaseSlot()
+	t.runCall(w, r, body, wrongIdentity)
 }
 
-func (t *Target) run(w http.ResponseWriter, r *http.Request, body []byte, mixedUp bool) {
-	t.started(r.Header.Get(dispatch.RequestIDHeader), body)
-	if mixedUp {
+func (t *Target) runCall(w http.ResponseWriter, r *http.Request, body []byte, wrongIdentity bool) {
+	t.recordStart(r.Header.Get(dispatch.RequestIDHeader), body)
+	if wrongIdentity {
 		body = bytes.ReplaceAll(body, []byte(`"input":"`), []byte(`"input":"another `))
 	}
-	if take(t, func(f *TargetFaults) *int { return &f.Hang }) {
+	if consumeFault(t, func(f *TargetFaults) *int { return &f.Hang }) {
 		<-r.Context().Done()
 		return
 	}
@@ -168,20 +175,21 @@
 		t.generate(w, r, body)
 		return
 	}
-	if !t.work(r, 1) {
+	if !t.simulateWork(r, 1) {
 		return
 	}
-	t.answer(w, t.result(body))
+	t.writeAnswer(w, t.result(body))
 }
 
-func (t *Target) current() TargetFaults {
+func (t *Target) currentFaults() TargetFaults {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.faults
 }
 
-// take uses up one of a counted fault.
-func take(t *Target, field func(*TargetFaults) *int) bool {
+// consumeFault reports whether the count of a fault is above 0, and lowers it by
+// one.
+func consumeFault(t *Target, field func(*TargetFaults) *int) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := field(&t.faults)
@@ -192,7 +200,7 @@
 	return true
 }
 
-func (t *Target) enter(r *http.Request) bool {
+func (t *Target) acquireSlot(r *http.Request) bool {
 	t.mu.Lock()
 	t.waiting++
 	t.mu.Unlock()
@@ -211,7 +219,7 @@
 	return ok
 }
 
-func (t *Target) leave() {
+func (t *Target) releaseSlot() {
 	<-t.slots
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -219,27 +227,28 @@
 	t.ended++
 }
 
-func (t *Target) started(request string, body []byte) {
+func (t *Target) recordStart(request string, body []byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.runs[request]++
 	var call pipeline.ServiceRequest
 	if t.cfg.Kind == settings.Service && json.Unmarshal(body, &call) == nil {
-		t.inputs[string(call.Input)] = append(t.inputs[string(call.Input)], time.Now())
+		t.startTimes[string(call.Input)] = append(t.startTimes[string(call.Input)], time.Now())
 	}
 }
 
-// Starts returns when calls of a service with this input, a JSON value, were
-// started here.
+// Starts returns the start times of calls with this input, a JSON value. It is
+// empty for targets that are not of kind Service.
 func (t *Target) Starts(input string) []time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.inputs[input]
+	return t.startTimes[input]
 }
 
-// work spends the time of n units; it reports false when the caller left.
-func (t *Target) work(r *http.Request, n int) bool {
-	factor := t.current().SlowFactor
+// simulateWork waits for the service time of n calls or tokens. It returns false
+// if the caller cancelled the call before.
+func (t *Target) simulateWork(r *http.Request, n int) bool {
+	factor := t.currentFaults().SlowFactor
 	if factor == 0 {
 		factor = 1
 	}
@@ -253,16 +262,16 @@
 	}
 }
 
-func (t *Target) answer(w http.ResponseWriter, v any) {
+func (t *Target) writeAnswer(w http.ResponseWriter, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
 	}
-	if take(t, func(f *TargetFaults) *int { return &f.ResetAfter }) {
+	if consumeFault(t, func(f *TargetFaults) *int { return &f.ResetAfter }) {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	if take(t, func(f *TargetFaults) *int { return &f.CutAnswers }) {
+	if consumeFault(t, func(f *TargetFaults) *int { return &f.CutAnswers }) {
 		w.Header().Set("Content-Length", fmt.Sprint(len(body)))
 		write(w, body[:len(body)/2])
 		panic(http.ErrAbortHandler)
@@ -270,13 +279,15 @@
 	write(w, body)
 }
 
-// write ignores errors: a caller that left is noticed by the context.
+// write ignores errors: the context of the request reports a caller that
+// disconnected.
 func write(w io.Writer, b []byte) {
 	_, _ = w.Write(b)
 }
 
-// order takes an order to hold other models; they are loaded in the background.
-func (t *Target) order(w http.ResponseWriter, r *http.Request) {
+// handleOrder accepts an order to load other models and loads them in the
+// background.
+func (t *Target) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var o fleet.EngineOrder
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxTargetBody)).Decode(&o); err != nil {
 		http.Error(w, `{"error":"bad body"}`, http.StatusBadRequest)
@@ -302,8 +313,8 @@
 	_ = json.NewEncoder(w).Encode(l)
 }
 
-// result computes a deterministic answer from the call, so that tests can tell
-// whose answer they got.
+// result computes the answer from the body of the call alone, so that tests can
+// check that an answer belongs to its call.
 func (t *Target) result(body []byte) any {
 	switch t.cfg.Kind {
 	case settings.Encode:
@@ -344,8 +355,9 @@
 	return out
 }
 
-// TokenText is the text of token i of a generation for this prompt; equal on
-// every engine, so that a resumed stream can be checked.
+// TokenText returns the text of token i, counted from 0, of a generation for this
+// prompt. It is the same on every engine, so that tests can check a stream that
+// was resumed on another engine.
 func TokenText(prompt string, i int) string {
 	words := strings.Fields(prompt)
 	if len(words) == 0 {
@@ -361,14 +373,14 @@
 		return
 	}
 	last := req.MaxTokens
-	cut := take(t, func(f *TargetFaults) *int { return &f.CutStreams })
+	cut := consumeFault(t, func(f *TargetFaults) *int { return &f.CutStreams })
 	if cut {
 		last = (len(req.Resume) + req.MaxTokens) / 2
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
 	flush := http.NewResponseController(w)
 	for i := len(req.Resume); i < last; i++ {
-		if !t.work(r, 1) {
+		if !t.simulateWork(r, 1) {
 			return
 		}
 		event, err := json.Marshal(map[string]any{
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -17,17 +17,18 @@
 	Pool    settings.Pool
 	Targets int
 	Slots   int
-	// Service is the time of one call, or of one token of an engine.
+	// Service is the service time of one call, or of one token of an engine.
 	Service time.Duration
-	// Models are held by every engine, unless Held gives those of each.
+	// Models are the models that every engine has loaded. If Held is set, it
+	// lists the models of each engine instead.
 	Models []string
 	Held   [][]string
 }
 
-// loadTime is how long a stand-in engine loads models.
-const loadTime = 10 * time.Second
+// modelLoadTime is the time that a stand-in engine takes to load models.
+const modelLoadTime = 10 * time.Second
 
-// modelsOf returns the models of engine i.
+// modelsOf returns the models of engine i, counted from 0.
 func (s PoolSpec) modelsOf(i int) []string {
 	if s.Held != nil {
 		return s.Held[i]
@@ -35,17 +36,19 @@
 	return s.Models
 }
 
-// World is a set of stand-in targets, listed in a stand-in platform.
+// World is a set of stand-in targets and the in-memory store that lists them as
+// hosts.
 type World struct {
 	Store   *store.Memory
 	Targets map[string]*Target
-	// Addrs holds the address of each target by ID.
+	// Addrs holds the address (IP:port) of each target by ID.
 	Addrs   map[string]string
 	specs   []PoolSpec
 	servers []*http.Server
 }
 
-// Harbour is the example deployment of docs/examples/harbour.hujson in small.
+// Harbour returns the pools of a smaller form of the example deployment
+// docs/examples/harbour.hujson.
 func Harbour() []PoolSpec {
 	adapters := []string{"atlas-7b"}
 	return []PoolSpec{
@@ -58,13 +61,13 @@
 	}
 }
 
-// NewWorld starts the targets on loopback addresses given by listen, spread
-// over two data centres.
+// NewWorld starts the targets of all pools, each on a loopback address that
+// listen opens. The targets of a pool alternate between two data centres.
 func NewWorld(specs []PoolSpec, listen func(addr string) (net.Listener, error)) (*World, error) {
 	w := &World{Store: store.NewMemory(), Targets: make(map[string]*Target), Addrs: make(map[string]string), specs: specs}
 	for _, spec := range specs {
 		for i := range spec.Targets {
-			if err := w.add(spec, i, listen); err != nil {
+			if err := w.addTarget(spec, i, listen); err != nil {
 				w.Close()
 				return nil, err
 			}
@@ -73,7 +76,7 @@
 	return w, nil
 }
 
-func (w *World) add(spec PoolSpec, i int, listen func(addr string) (net.Listener, error)) error {
+func (w *World) addTarget(spec PoolSpec, i int, listen func(addr string) (net.Listener, error)) error {
 	ln, err := listen("127.0.0.1:0")
 	if err != nil {
 		return eris.Wrap(err, "listen")
@@ -85,7 +88,7 @@
 	}
 	t := NewTarget(TargetConfig{
 		Kind: spec.Pool.Kind, Slots: spec.Slots, Service: spec.Service, Models: host.Models,
-		LoadTime: loadTime, HonoursFencing: spec.Pool.HonoursFencing,
+		LoadTime: modelLoadTime, HonoursFencing: spec.Pool.HonoursFencing,
 		Loaded: func(models []string) {
 			loaded := host
 			loaded.Models = models
@@ -101,7 +104,7 @@
 	return nil
 }
 
-// Pools returns the settings of the pools.
+// Pools returns the settings of all pools.
 func (w *World) Pools() []settings.Pool {
 	var out []settings.Pool
 	for _, s := range w.specs {
@@ -110,7 +113,7 @@
 	return out
 }
 
-// Runs returns how often the work of a request was started at any target.
+// Runs returns the number of calls started for a request, over all targets.
 func (w *World) Runs(request string) int {
 	n := 0
 	for _, t := range w.Targets {
@@ -119,7 +122,8 @@
 	return n
 }
 
-// Starts returns when calls with this input were started at any service.
+// Starts returns the start times of calls with this input, a JSON value, over all
+// targets of kind Service.
 func (w *World) Starts(input string) []time.Time {
 	var out []time.Time
 	for _, t := range w.Targets {
@@ -128,7 +132,7 @@
 	return out
 }
 
-// Close stops the targets.
+// Close stops the servers of all targets.
 func (w *World) Close() {
 	for _, s := range w.servers {
 		s.Close()
