--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -44,7 +44,8 @@
 	Status  int
 	Reply   *frontdoor.Reply
 	Problem *frontdoor.Problem
-	// Replayed says whether the answer has the header frontdoor.HeaderReplayed.
+	// Replayed reports that the answer was recorded earlier, for the same request
+	// key (frontdoor.HeaderReplayed).
 	Replayed bool
 	// Tokens are the streamed tokens in the order of arrival, First the time
 	// from the start of the call to the first token and Gaps the times between
