--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -326,7 +326,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if err := s.checkOffers(next.PlansOf(items)).Err(); err != nil && !req.Force {
+		if err := s.checkOffers(next.AffectedPlans(items)).Err(); err != nil && !req.Force {
 			return nil, err
 		}
 	}
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -50,11 +50,11 @@
 	// Tokens are the streamed tokens in the order of arrival, First the time
 	// from the start of the call to the first token and Gaps the times between
 	// consecutive tokens.
-	Tokens []dispatch.Token
-	First  time.Duration
-	Gaps   []time.Duration
-	// Took is the time from the start of the call to the end of the answer.
-	Took time.Duration
+	Tokens           []dispatch.Token
+	TimeToFirstToken time.Duration
+	TokenGaps        []time.Duration
+	// Elapsed is the time from the start of the call to the end of the answer.
+	Elapsed time.Duration
 }
 
 // Verdict returns the verdict of Problem, or "ran" if there is none.
@@ -103,7 +103,7 @@
 	} else {
 		err = res.readBody(resp)
 	}
-	res.Took = time.Since(start)
+	res.Elapsed = time.Since(start)
 	return res, err
 }
 
@@ -184,9 +184,9 @@
 func (r *Result) recordToken(t dispatch.Token, start, last time.Time) time.Time {
 	now := time.Now()
 	if len(r.Tokens) == 0 {
-		r.First = now.Sub(start)
+		r.TimeToFirstToken = now.Sub(start)
 	} else {
-		r.Gaps = append(r.Gaps, now.Sub(last))
+		r.TokenGaps = append(r.TokenGaps, now.Sub(last))
 	}
 	r.Tokens = append(r.Tokens, t)
 	return now
--- a/internal/catalog/compiled.go
+++ b/internal/catalog/compiled.go
@@ -184,9 +184,9 @@
 	return b
 }
 
-// PlansOf returns the plans in c that the items affect: those of changed accounts
+// AffectedPlans returns the plans in c that the items affect: those of changed accounts
 // and those of changed templates. A plan may occur more than once.
-func (c *Compiled) PlansOf(items []Item) []*Plan {
+func (c *Compiled) AffectedPlans(items []Item) []*Plan {
 	var out []*Plan
 	for _, it := range items {
 		if it.Kind == AccountItem && c.accounts[it.Name] != nil {
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -246,7 +246,7 @@
 		return row, nil
 	}
 	row.Verdict = res.Verdict()
-	row.Ms = float64(res.Took.Microseconds()) / 1000
+	row.Ms = float64(res.Elapsed.Microseconds()) / 1000
 	if res.Problem != nil {
 		row.Node, row.Code, row.Stages, row.Deadline = res.Problem.Node, string(res.Problem.Code), res.Problem.Stages, "-"
 		return row, res
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -198,10 +198,10 @@
 		c.Met++
 	}
 	record(c.latency, took)
-	if res.First > 0 {
-		record(c.first, res.First)
+	if res.TimeToFirstToken > 0 {
+		record(c.first, res.TimeToFirstToken)
 	}
-	for _, g := range res.Gaps {
+	for _, g := range res.TokenGaps {
 		record(c.gap, g)
 	}
 	r.cost(res.Reply.Stages)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -139,8 +139,8 @@
 func TestConfigNeverReverts(t *testing.T) {
 	c := qt.New(t)
 	f, cell := newFollower(NewStore(store.NewMemory()))
-	c.Assert(f.Adopt(5, drainItem("a")), qt.IsTrue)
-	c.Assert(f.Adopt(4, drainItem("b")), qt.IsFalse)
+	c.Assert(f.ApplySnapshot(5, drainItem("a")), qt.IsTrue)
+	c.Assert(f.ApplySnapshot(4, drainItem("b")), qt.IsFalse)
 	c.Assert(f.Offer(catalog.Change{Revision: 5, Items: drainItem("b")}), qt.IsFalse)
 	c.Assert(cell.Get().Drained("a"), qt.IsTrue)
 	c.Assert(cell.Get().Drained("b"), qt.IsFalse)
@@ -159,7 +159,7 @@
 			_, err := s.Submit(t.Context(), i, catalog.Change{ID: fmt.Sprint(i), Items: drainItem(fmt.Sprint(i))})
 			c.Assert(err, qt.IsNil)
 		}
-		f.Adopt(1, drainItem("0"))
+		f.ApplySnapshot(1, drainItem("0"))
 		f.Offer(catalog.Change{Revision: 3, Items: drainItem("2")})
 		c.Assert(cell.Get().Revision, qt.Equals, int64(1))
 		f.poll(t.Context())
--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// Poke makes the follower read the head now.
-func (f *Follower) Poke() {
+// PollNow makes the follower read the head now.
+func (f *Follower) PollNow() {
 	select {
 	case f.wake <- struct{}{}:
 	default:
@@ -110,7 +110,7 @@
 			f.log.Warn("configuration not loaded", "err", err)
 			return false
 		}
-		return f.Adopt(rev, items)
+		return f.ApplySnapshot(rev, items)
 	}
 	changes, err := f.store.Changes(ctx, have, scanPage)
 	if err != nil {
@@ -130,12 +130,12 @@
 		f.log.Warn("no configuration from peers", "err", err)
 		return
 	}
-	f.Adopt(rev, items)
+	f.ApplySnapshot(rev, items)
 }
 
-// Adopt replaces the configuration by a whole snapshot if the snapshot is newer, and
+// ApplySnapshot replaces the configuration by a whole snapshot if the snapshot is newer, and
 // announces the new revision to peers. It reports whether it replaced it.
-func (f *Follower) Adopt(revision int64, items []catalog.Item) bool {
+func (f *Follower) ApplySnapshot(revision int64, items []catalog.Item) bool {
 	f.mu.Lock()
 	if revision <= f.cell.Get().Revision {
 		f.mu.Unlock()
@@ -161,7 +161,7 @@
 	}
 	if c.Revision > cur.Revision+1 {
 		f.mu.Unlock()
-		f.Poke()
+		f.PollNow()
 		return true
 	}
 	ok := f.apply(cur, c.Revision, c.Items)
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -41,13 +41,13 @@
 
 // countingTables counts the writes of each counter row, to detect rows written twice.
 type countingTables struct {
-	*standin.Gate
+	*standin.StoreProxy
 	mu     *sync.Mutex
 	writes map[string]int
 }
 
 func (t countingTables) Commit(ctx context.Context, tx store.Tx) (store.Version, error) {
-	v, err := t.Gate.Commit(ctx, tx)
+	v, err := t.StoreProxy.Commit(ctx, tx)
 	if err == nil {
 		t.mu.Lock()
 		defer t.mu.Unlock()
@@ -85,16 +85,16 @@
 			var mu sync.Mutex
 			ctx, cancel := context.WithCancel(context.Background())
 			var wg sync.WaitGroup
-			var gates []*standin.Gate
+			var gates []*standin.StoreProxy
 			for i := range 3 {
-				g := standin.NewGate(memory)
+				g := standin.NewStoreProxy(memory)
 				gates = append(gates, g)
-				tables := countingTables{Gate: g, mu: &mu, writes: writes}
+				tables := countingTables{StoreProxy: g, mu: &mu, writes: writes}
 				name := fmt.Sprint("n", i)
 				id := 0
 				s := &control.Shard{
 					Name: "s", Node: name, Task: &counter{tables: tables, node: name}, Tables: tables, Log: discardLog,
-					Mine: func(string) bool { return true }, NewID: func() string { id++; return fmt.Sprint(name, "-", id) },
+					Preferred: func(string) bool { return true }, NewID: func() string { id++; return fmt.Sprint(name, "-", id) },
 				}
 				wg.Go(func() { _ = s.Serve(ctx) })
 			}
@@ -102,11 +102,11 @@
 				time.AfterFunc(f.at, func() {
 					if f.freeze {
 						gates[f.node].Freeze()
-						time.AfterFunc(f.span, gates[f.node].Thaw)
+						time.AfterFunc(f.span, gates[f.node].Unfreeze)
 						return
 					}
-					gates[f.node].SetCut(true)
-					time.AfterFunc(f.span, func() { gates[f.node].SetCut(false) })
+					gates[f.node].SetDisconnected(true)
+					time.AfterFunc(f.span, func() { gates[f.node].SetDisconnected(false) })
 				})
 			}
 			time.Sleep(5 * time.Minute)
@@ -140,9 +140,9 @@
 			_, err := memory.Commit(t.Context(), store.Tx{Writes: []store.Write{{Table: "t", Key: fmt.Sprintf("a%04d", i), Value: []byte(age)}}})
 			c.Assert(err, qt.IsNil)
 		}
-		sweep := &control.Sweep{Tables: memory, Table: "t", Prefixes: []string{"a"}, Old: func(r store.Row, _ time.Time) bool { return string(r.Value) == "old" }}
+		sweep := &control.Sweep{Tables: memory, Table: "t", Prefixes: []string{"a"}, Expired: func(r store.Row, _ time.Time) bool { return string(r.Value) == "old" }}
 		id := 0
-		s := &control.Shard{Name: "s", Node: "n", Task: sweep, Tables: memory, Log: discardLog, Mine: func(string) bool { return true }, NewID: func() string { id++; return fmt.Sprint(id) }}
+		s := &control.Shard{Name: "s", Node: "n", Task: sweep, Tables: memory, Log: discardLog, Preferred: func(string) bool { return true }, NewID: func() string { id++; return fmt.Sprint(id) }}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() { done <- s.Serve(ctx) }()
--- a/internal/control/event.go
+++ b/internal/control/event.go
@@ -44,7 +44,7 @@
 
 // SweepEvents returns the task that deletes events older than eventRetention.
 func SweepEvents(t store.Tables) *Sweep {
-	return &Sweep{Tables: t, Table: eventTable, Prefixes: []string{""}, Old: func(r store.Row, now time.Time) bool {
+	return &Sweep{Tables: t, Table: eventTable, Prefixes: []string{""}, Expired: func(r store.Row, now time.Time) bool {
 		var e Event
 		return json.Unmarshal(r.Value, &e) == nil && now.Sub(e.At) > eventRetention
 	}}
--- a/internal/control/shard.go
+++ b/internal/control/shard.go
@@ -65,12 +65,12 @@
 	// Node is the name of this node.
 	Node string
 	Task Task
-	// Mine reports whether this node is the preferred owner of the shard; other
+	// Preferred reports whether this node is the preferred owner of the shard; other
 	// nodes wait longer before they take it over.
-	Mine   func(name string) bool
-	Tables store.Tables
-	NewID  func() string
-	Log    *slog.Logger
+	Preferred func(name string) bool
+	Tables    store.Tables
+	NewID     func() string
+	Log       *slog.Logger
 
 	cur     row
 	version store.Version
@@ -89,7 +89,7 @@
 	for {
 		s.runOnce(ctx)
 		every := pollInterval
-		if s.owned || s.Mine(s.Name) {
+		if s.owned || s.Preferred(s.Name) {
 			every = stepInterval
 		}
 		select {
@@ -105,7 +105,7 @@
 	if !s.owned && !s.takeOver(ctx) {
 		return
 	}
-	if !s.Mine(s.Name) {
+	if !s.Preferred(s.Name) {
 		// Another node is the preferred owner: release the shard, so that the
 		// shards stay evenly distributed when nodes start and stop.
 		s.release()
@@ -162,7 +162,7 @@
 	if s.cur.Owner != "" {
 		idle -= LeaseTime
 	}
-	return idle >= pollInterval || (idle >= 0 && s.Mine(s.Name))
+	return idle >= pollInterval || (idle >= 0 && s.Preferred(s.Name))
 }
 
 // commit writes the row together with conds and writes, on the condition that
--- a/internal/control/sweep.go
+++ b/internal/control/sweep.go
@@ -14,8 +14,8 @@
 	Table  string
 	// Prefixes limits the sweep to keys that start with one of them.
 	Prefixes []string
-	// Old reports whether a row is to be deleted.
-	Old func(r store.Row, now time.Time) bool
+	// Expired reports whether a row is to be deleted.
+	Expired func(r store.Row, now time.Time) bool
 
 	// prefix is the index in Prefixes of the next page; the page starts after the
 	// key last.
@@ -45,7 +45,7 @@
 	var writes []store.Write
 	now := time.Now()
 	for _, r := range rows {
-		if !s.Old(r, now) {
+		if !s.Expired(r, now) {
 			continue
 		}
 		conds = append(conds, store.Condition{Table: s.Table, Key: r.Key, Version: r.Version})
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -162,7 +162,7 @@
 	}
 	if slices.Contains(call.RefusalStatuses, resp.StatusCode) {
 		return verdict.New(verdict.NotRun, verdict.TargetRefused, "the target refused with status %d", resp.StatusCode).
-			After(readiness.ParseRest(resp.Header.Values("Retry-After"), resp.Header.Get("Date"), time.Now())).At(call.Identity.Stage, call.Target)
+			After(readiness.ParseRetryAfter(resp.Header.Values("Retry-After"), resp.Header.Get("Date"), time.Now())).At(call.Identity.Stage, call.Target)
 	}
 	return verdict.New(verdict.MayHaveRun, verdict.TargetFailed, "the target failed with status %d", resp.StatusCode).
 		At(call.Identity.Stage, call.Target)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -50,8 +50,8 @@
 	ListenCallers, ListenReady, ListenPeers string
 	// MemoryBytes is the memory limit of the process; 0 for none.
 	MemoryBytes int64
-	// Means are the resources of the process for the batches that it forms on behalf of all nodes.
-	Means stagebatch.Means
+	// Capacity are the resources of the process for the batches that it forms on behalf of all nodes.
+	Capacity stagebatch.Capacity
 	// StopGrace is the time between the stop signal and the end of the process.
 	StopGrace time.Duration
 	Repeats   RepeatBudget
@@ -98,9 +98,9 @@
 	BootAhead suspend.Read
 	// Reload reads the settings again.
 	Reload func() (Settings, error)
-	// Dropped returns the number of dropped log lines; nil if no lines are dropped.
-	Dropped func() int64
-	Log     *slog.Logger
+	// DroppedLogLines returns the number of dropped log lines; nil if no lines are dropped.
+	DroppedLogLines func() int64
+	Log             *slog.Logger
 }
 
 // nodeState holds the data that the parts of the node share.
@@ -131,7 +131,7 @@
 	gate            *rollout.Gate
 	owner           *rollout.Owner
 	// relayServer and follower relay the tables of the store between the nodes of a data centre.
-	relayServer  *relay.Teller
+	relayServer  *relay.Publisher
 	follower     *relay.Follower
 	former       *stagebatch.Former
 	router       *stagebatch.Router
@@ -190,9 +190,9 @@
 	n.targets.WarmupRate = n.warmupRate
 	n.provisionLimits()
 	n.provisionRollouts()
-	n.configTable = &watch.Table{Name: env.ConfigTable, From: env.Store, Wait: watch.ShortWait, Pause: n.pause(0, configPause, configPause), Apply: (&restore.Table{Name: env.ConfigTable, Apply: n.applyOperatorTable, Log: n.log}).Take, Log: n.log}
-	n.targetTable = &watch.Table{Name: env.TargetTable, From: env.Store, Wait: watch.ShortWait, Pause: n.pause(targetPausePerNode, targetPause, maxTargetPause), Apply: n.applyTargets, Contact: n.storeContactChanged, Log: n.log}
-	n.configTable.Lead = n.targetTable
+	n.configTable = &watch.Table{Name: env.ConfigTable, From: env.Store, Wait: watch.ShortWait, Pause: n.pause(0, configPause, configPause), Apply: (&restore.Table{Name: env.ConfigTable, Apply: n.applyOperatorTable, Log: n.log}).Update, Log: n.log}
+	n.targetTable = &watch.Table{Name: env.TargetTable, From: env.Store, Wait: watch.ShortWait, Pause: n.pause(targetPausePerNode, targetPause, maxTargetPause), Apply: n.applyTargets, OnAvailability: n.storeContactChanged, Log: n.log}
+	n.configTable.Primary = n.targetTable
 	n.versionTracker = &versionTracker{n: n}
 	n.former = stagebatch.NewFormer(env.Worker, n.targets, n.batchSpec, n.log)
 	n.former.Name, n.former.Off = set.Node, set.Off
@@ -207,9 +207,9 @@
 	n.targets.Trusted = n.trusted
 	n.provisionGuard()
 	n.provisionRelay()
-	n.router = stagebatch.NewRouter(stagebatch.Node{Name: set.Node, DataCentre: set.DataCentre, Means: set.Means}, n.former, n.peers.client, n.state.Members.Get, n.log)
+	n.router = stagebatch.NewRouter(stagebatch.Node{Name: set.Node, DataCentre: set.DataCentre, Capacity: set.Capacity}, n.former, n.peers.client, n.state.Members.Get, n.log)
 	n.passThrough = passthrough.New(passthrough.Config{
-		Routes: n.state.Routes.Get, Current: n.current, StoreAway: n.storeUnreachable, Slept: n.detector.Slept, Trusted: n.trusted, Targets: n.targets, Stages: n.router,
+		Routes: n.state.Routes.Get, Current: n.current, StoreUnreachable: n.storeUnreachable, SuspendedTime: n.detector.SuspendedTime, Trusted: n.trusted, Targets: n.targets, Stages: n.router,
 		Guard: n.guard, Sender: env.Conns, Wire: env.Wire, Off: set.Off,
 		Repeats:   flow.NewRepeatBudgets(set.Repeats.Ratio, set.Repeats.Fixed, set.Repeats.Window, n.router.Live, n.acquireRepeatPermit),
 		BodyBytes: defaultBodyBytes, ReadTimeout: defaultReadTimeout, Observer: n.metrics, Log: n.log,
@@ -227,7 +227,7 @@
 // only a few read it, and the pause is short.
 func (n *Node) pause(perNode, least, most time.Duration) func() time.Duration {
 	return func() time.Duration {
-		if len(n.state.LocalNodes.Get()) >= relay.Fewest {
+		if len(n.state.LocalNodes.Get()) >= relay.MinNodes {
 			return least
 		}
 		nodes := n.nodes()
@@ -239,7 +239,7 @@
 	n.metrics.GaugeVec("topazmoor_entry_store_age_seconds", "Time since the store last answered, by table.", "table", func() map[string]float64 {
 		ages := make(map[string]float64)
 		for _, t := range []*watch.Table{n.configTable, n.targetTable, n.peers.members} {
-			ages[t.Name] = time.Since(t.LastHeard()).Seconds()
+			ages[t.Name] = time.Since(t.LastAnswer()).Seconds()
 		}
 		return ages
 	})
@@ -254,8 +254,8 @@
 	n.metrics.Gauge("topazmoor_entry_store_followers", "Nodes that follow the store through this one.", func() float64 { return float64(n.relayServer.Followers()) })
 	n.metrics.Gauge("topazmoor_entry_nodes", "Nodes that answer, this one included.", func() float64 { return float64(n.router.Live()) })
 	n.metrics.Gauge("topazmoor_entry_requests_in_flight", "Requests being worked on.", func() float64 { return float64(n.InFlight()) })
-	if n.env.Dropped != nil {
-		n.metrics.Gauge("topazmoor_entry_log_lines_dropped", "Log lines that did not fit the buffer.", func() float64 { return float64(n.env.Dropped()) })
+	if n.env.DroppedLogLines != nil {
+		n.metrics.Gauge("topazmoor_entry_log_lines_dropped", "Log lines that did not fit the buffer.", func() float64 { return float64(n.env.DroppedLogLines()) })
 	}
 }
 
@@ -305,43 +305,43 @@
 // whether the store answers.
 func (n *Node) storeContactChanged() {
 	n.relayServer.Wake()
-	if n.follower.Alone() {
-		n.configTable.Poke()
-		n.peers.members.Poke()
-		n.quarantineTable.Poke()
+	if n.follower.PollsStore() {
+		n.configTable.PollNow()
+		n.peers.members.PollNow()
+		n.quarantineTable.PollNow()
 	}
 }
 
 // applyTargets applies changes of the target table.
 func (n *Node) applyTargets(v watch.View) {
 	n.relayServer.Wake()
-	changes, gone := n.targets.Change(n.readTargets(v), v.Regained)
+	changes, gone := n.targets.Change(n.readTargets(v), v.RestoredAt)
 	for _, addr := range gone {
-		n.env.Conns.Forget(addr)
+		n.env.Conns.CloseIdle(addr)
 	}
 	for _, c := range changes {
-		n.log.Info("target "+c.What, "target", c.ID, "addr", c.Addr, "service", c.Service, "row_version", v.Version)
+		n.log.Info("target "+c.Kind, "target", c.ID, "addr", c.Addr, "service", c.Service, "row_version", v.Version)
 	}
 }
 
 // readTargets decodes the target rows that changed.
-func (n *Node) readTargets(v watch.View) targets.News {
-	var news targets.News
+func (n *Node) readTargets(v watch.View) targets.ListUpdate {
+	var news targets.ListUpdate
 	for _, key := range v.Changed {
 		row, listed := v.Rows[key]
 		if !listed {
 			n.unreadable.remove(key)
-			news.Gone = append(news.Gone, key)
+			news.Removed = append(news.Removed, key)
 			continue
 		}
 		t, err := n.env.Sources.Target(row)
 		if err != nil {
 			n.unreadable.add(row, err, n.log)
-			news.Gone = append(news.Gone, key)
+			news.Removed = append(news.Removed, key)
 			continue
 		}
 		n.unreadable.remove(key)
-		news.Listed = append(news.Listed, t)
+		news.Updated = append(news.Updated, t)
 	}
 	return news
 }
@@ -396,7 +396,7 @@
 		return false, "stopping"
 	case n.state.Routes.Get() == nil:
 		return false, "no configuration yet"
-	case !n.targets.Seen():
+	case !n.targets.ListReceived():
 		return false, "no targets yet"
 	case !n.trusted():
 		return false, "the host stood still"
@@ -438,7 +438,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case now := <-tick.C:
-			s.n.env.Conns.Sweep(now)
+			s.n.env.Conns.CloseExpired(now)
 		}
 	}
 }
@@ -446,11 +446,11 @@
 // InFlight returns the number of requests in progress.
 func (n *Node) InFlight() int64 { return n.passThrough.InFlight() }
 
-// Others returns the number of other nodes in the member table.
-func (n *Node) Others() int { return len(n.state.Members.Get()) }
+// OtherNodes returns the number of other nodes in the member table.
+func (n *Node) OtherNodes() int { return len(n.state.Members.Get()) }
 
 // nodes returns the number of nodes by the member table, including this one.
-func (n *Node) nodes() int { return n.Others() + 1 }
+func (n *Node) nodes() int { return n.OtherNodes() + 1 }
 
 // ConfigVersion returns the version of the configuration in force; 0 for none.
 func (n *Node) ConfigVersion() int64 {
@@ -463,12 +463,12 @@
 // StoreFollowers returns how many nodes follow the store through this one.
 func (n *Node) StoreFollowers() int { return n.relayServer.Followers() }
 
-// Former returns the name of the node that forms the batches of a service, by this node's view
+// BatchNode returns the name of the node that forms the batches of a service, by this node's view
 // of the members.
-func (n *Node) Former(service string) string { return n.router.First(service) }
+func (n *Node) BatchNode(service string) string { return n.router.FirstBatchNode(service) }
 
-// Knows reports whether this node may send requests to a target.
-func (n *Node) Knows(target string) bool { return n.targets.MayCall(target) }
+// CanCall reports whether this node may send requests to a target.
+func (n *Node) CanCall(target string) bool { return n.targets.MayCall(target) }
 
 // Name returns the node's name.
 func (n *Node) Name() string { return n.set.Node }
--- a/internal/entry/guard.go
+++ b/internal/entry/guard.go
@@ -12,15 +12,15 @@
 func (n *Node) provisionGuard() {
 	n.guard = poison.New(poison.Config{
 		Node: n.set.Node, Store: n.env.Store, Dial: n.env.Dial, Nodes: func() int { return n.router.Live() },
-		Others: n.otherAddrs, Tell: n.peers.client.TellEnds, Gone: n.targets.Ended, Log: n.log,
+		OtherAddrs: n.otherAddrs, SendEndsTo: n.peers.client.SendEnds, OnProcessEnd: n.targets.ProcessEnded, Log: n.log,
 	})
 	n.former.Guard = n.guard
 	n.quarantineTable = &watch.Table{
-		Name: poison.QuarantineTable, From: n.env.Store, Wait: watch.LongWait, Lead: n.targetTable, Log: n.log,
-		Apply: (&restore.Table{Name: poison.QuarantineTable, Mend: n.guard.Mend, Log: n.log, Apply: func(v watch.View, kept restore.Result) {
+		Name: poison.QuarantineTable, From: n.env.Store, Wait: watch.LongWait, Primary: n.targetTable, Log: n.log,
+		Apply: (&restore.Table{Name: poison.QuarantineTable, RewriteLost: n.guard.RewriteLost, Log: n.log, Apply: func(v watch.View, kept restore.Result) {
 			n.guard.Apply(v, kept)
 			n.relayServer.Wake()
-		}}).Take,
+		}}).Update,
 	}
 	n.provisionGuardMetrics()
 }
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -13,7 +13,7 @@
 func (n *Node) provisionLimits() {
 	n.limiter = sharedrate.New(sharedrate.Config{
 		Self: sharedrate.Node{Name: n.set.Node, Addr: n.set.ListenPeers}, Log: n.log,
-		Ask: func(ctx context.Context, addr string, a sharedrate.Ask) (sharedrate.Grant, error) {
+		PermitRequest: func(ctx context.Context, addr string, a sharedrate.PermitRequest) (sharedrate.Grant, error) {
 			return n.peers.client.AskPermits(ctx, addr, a)
 		},
 	})
@@ -23,7 +23,7 @@
 	n.metrics.Counter("topazmoor_entry_permits_taken_total", "Permits that requests of this node got for targets that name a limit.", func() float64 { return n.limiter.Counts().Taken })
 	n.metrics.Counter("topazmoor_entry_permits_denied_total", "Requests of this node that got no permit.", func() float64 { return n.limiter.Counts().Denied })
 	n.metrics.Counter("topazmoor_entry_permits_granted_total", "Permits that this node granted to all nodes.", func() float64 { return n.limiter.Counts().Granted })
-	n.metrics.Counter("topazmoor_entry_permit_asks_total", "Asks for permits that this node answered.", func() float64 { return n.limiter.Counts().Asked })
+	n.metrics.Counter("topazmoor_entry_permit_asks_total", "Asks for permits that this node answered.", func() float64 { return n.limiter.Counts().RequestsAnswered })
 }
 
 // repeatPermitTimeout is how long a repeat waits for its permit; the caller waits for that
@@ -43,7 +43,7 @@
 
 // limitChanged logs that a target set, changed or removed its advertised limit.
 func (n *Node) limitChanged(c targets.LimitChange) {
-	attrs := []any{"process", c.Process, "addr", c.Addr, "service", c.Service, "lasted_ms", c.Lasted.Milliseconds(), "told", c.Told}
+	attrs := []any{"process", c.Process, "addr", c.Addr, "service", c.Service, "lasted_ms", c.LimitedFor.Milliseconds(), "told", c.ByOtherNode}
 	if c.PerSecond < 0 {
 		n.log.Info("target no longer advertises a limit", attrs...)
 		return
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -65,8 +65,8 @@
 	DataCentre string `json:"data_centre"`
 	// Memory is the memory limit of the process in bytes; 0 for none.
 	Memory int64 `json:"memory,omitempty"`
-	// Means are the resources of the process for the batches that it forms.
-	Means stagebatch.Means `json:"means,omitzero"`
+	// Capacity are the resources of the process for the batches that it forms.
+	Capacity stagebatch.Capacity `json:"means,omitzero"`
 }
 
 // peers connects the node with the other nodes: its row in the member table, the shared
@@ -103,13 +103,13 @@
 	p := &peers{n: n, repair: make(chan struct{}, 1), client: newDeferredClient(), known: make(chan struct{}), answered: make(chan struct{}), server: &deferredServer{ln: ln, key: make(chan []byte, 1)}}
 	p.missing.Store(2)
 	p.server.start = func(key []byte) *peer.Server {
-		return peer.NewServer(ln, key, n.set.Node, peer.Handler{Nodes: n.Others, Stages: n.former, Versions: n.versionTracker, Teller: n.relayServer, Ends: n.guard, Permits: n.limiter, Rollouts: n.owner}, n.log)
+		return peer.NewServer(ln, key, n.set.Node, peer.Handler{Nodes: n.OtherNodes, Stages: n.former, Versions: n.versionTracker, Publisher: n.relayServer, Ends: n.guard, Permits: n.limiter, Rollouts: n.owner}, n.log)
 	}
-	p.row, err = json.Marshal(member{Addr: ln.Addr().String(), DataCentre: n.set.DataCentre, Memory: n.set.MemoryBytes, Means: n.set.Means})
+	p.row, err = json.Marshal(member{Addr: ln.Addr().String(), DataCentre: n.set.DataCentre, Memory: n.set.MemoryBytes, Capacity: n.set.Capacity})
 	if err != nil {
 		return nil, eris.Wrap(err, "encode member")
 	}
-	p.members = &watch.Table{Name: memberTable, From: n.env.Store, Wait: watch.LongWait, Pause: n.pause(memberPausePerNode, memberPause, maxMemberPause), Apply: (&restore.Table{Name: memberTable, Apply: p.apply, Mend: p.repairStore, Log: n.log}).Take, Lead: n.targetTable, Log: n.log}
+	p.members = &watch.Table{Name: memberTable, From: n.env.Store, Wait: watch.LongWait, Pause: n.pause(memberPausePerNode, memberPause, maxMemberPause), Apply: (&restore.Table{Name: memberTable, Apply: p.apply, RewriteLost: p.repairStore, Log: n.log}).Update, Primary: n.targetTable, Log: n.log}
 	return p, nil
 }
 
@@ -156,7 +156,7 @@
 	// that.
 	_ = p.writeRow(ctx)
 	if sleep(ctx, startupWait) {
-		p.members.Poke()
+		p.members.PollNow()
 	}
 }
 
@@ -181,7 +181,7 @@
 	case p.repair <- struct{}{}:
 	default:
 	}
-	for _, name := range kept.Undone {
+	for _, name := range kept.Reappeared {
 		p.removeDeparted(name)
 	}
 }
@@ -248,7 +248,7 @@
 		p.noSecret.Store(err != nil && !errors.Is(err, store.ErrNotFound))
 		if err == nil {
 			if !fresh {
-				p.members.Poke()
+				p.members.PollNow()
 			}
 			return r.Value, fresh, nil
 		}
@@ -329,7 +329,7 @@
 		}
 		if name != p.n.set.Node {
 			sharing = append(sharing, sharedrate.Node{Name: name, Addr: m.Addr})
-			out = append(out, stagebatch.Node{Name: name, Addr: m.Addr, DataCentre: m.DataCentre, Means: m.Means})
+			out = append(out, stagebatch.Node{Name: name, Addr: m.Addr, DataCentre: m.DataCentre, Capacity: m.Capacity})
 		}
 	}
 	p.n.state.Members.Store(out)
@@ -423,13 +423,13 @@
 	return c.Free(ctx, addr, service, handles, ifTight)
 }
 
-// TellEnds reports to another node which targets ended during requests.
-func (l *deferredClient) TellEnds(ctx context.Context, addr string, ends []poison.End) error {
+// SendEnds reports to another node which targets ended during requests.
+func (l *deferredClient) SendEnds(ctx context.Context, addr string, ends []poison.End) error {
 	c := l.c.Load()
 	if c == nil {
 		return errNoKey
 	}
-	return c.TellEnds(ctx, addr, ends)
+	return c.SendEnds(ctx, addr, ends)
 }
 
 // ReportRollout sends this node's observations of a roll-out to the node that decides on it.
@@ -442,7 +442,7 @@
 }
 
 // AskPermits requests permits of a rate from another node.
-func (l *deferredClient) AskPermits(ctx context.Context, addr string, a sharedrate.Ask) (sharedrate.Grant, error) {
+func (l *deferredClient) AskPermits(ctx context.Context, addr string, a sharedrate.PermitRequest) (sharedrate.Grant, error) {
 	c := l.c.Load()
 	if c == nil {
 		return sharedrate.Grant{}, sharedrate.ErrNotReady
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -16,15 +16,15 @@
 	if n.set.Off.Has(mechanism.Relays) {
 		local = func() []relay.Node { return nil }
 	}
-	n.relayServer = relay.NewTeller(n.targetTable, n.configTable, n.peers.members, n.quarantineTable)
+	n.relayServer = relay.NewPublisher(n.targetTable, n.configTable, n.peers.members, n.quarantineTable)
 	shared := func() bool { return n.relayServer.Followers() > 0 }
-	n.targetTable.Shared, n.targetTable.SharedWait = shared, watch.SharedWait
-	n.configTable.Shared, n.configTable.SharedWait = shared, watch.SharedLongWait
+	n.targetTable.HasFollowers, n.targetTable.SharedWait = shared, watch.SharedWait
+	n.configTable.HasFollowers, n.configTable.SharedWait = shared, watch.SharedLongWait
 	n.follower = &relay.Follower{
-		Self: n.set.Node, DataCentre: n.set.DataCentre, Nodes: local, Known: n.peers.known, Answered: n.peers.answered,
-		Remote: n.peers.client, Tables: n.relayServer.Tables(), Teller: n.relayServer, Log: n.log,
+		Self: n.set.Node, DataCentre: n.set.DataCentre, Nodes: local, NodesKnown: n.peers.known, StoreAnswered: n.peers.answered,
+		Remote: n.peers.client, Tables: n.relayServer.Tables(), Publisher: n.relayServer, Log: n.log,
 	}
 	for _, table := range n.relayServer.Tables() {
-		table.Hold()
+		table.StopPolling()
 	}
 }
--- a/internal/entry/rollouts.go
+++ b/internal/entry/rollouts.go
@@ -18,7 +18,7 @@
 // provisionRollouts builds the parts that move traffic to other versions of services.
 func (n *Node) provisionRollouts() {
 	n.owner = &rollout.Owner{
-		Bounds: n.set.Rollouts, Book: rolloutStore{n}, Targets: n.targets.Versions, Nodes: n.nodes, Log: n.log,
+		Bounds: n.set.Rollouts, RecordStore: rolloutStore{n}, Targets: n.targets.Versions, Nodes: n.nodes, Log: n.log,
 		Withdrawn: func(o rollout.Order) bool { return n.gate.Withdrawn(o) },
 	}
 	n.gate = rollout.NewGate(n.set.Node, rolloutReporter{n}, n.nodes, n.log)
@@ -38,7 +38,7 @@
 
 // Report implements rollout.Remote.
 func (o rolloutReporter) Report(ctx context.Context, r rollout.Report) (rollout.Answer, error) {
-	lead, self := o.n.router.Lead("roll-out of " + r.Order.Service)
+	lead, self := o.n.router.Leader("roll-out of " + r.Order.Service)
 	if self {
 		return o.n.owner.Report(ctx, r)
 	}
@@ -51,10 +51,10 @@
 	return a, err
 }
 
-// rolloutStore stores the records of roll-outs. It implements rollout.Book.
+// rolloutStore stores the records of roll-outs. It implements rollout.RecordStore.
 type rolloutStore struct{ n *Node }
 
-// Save implements rollout.Book. The row that the operator reads is written in the same
+// Save implements rollout.RecordStore. The row that the operator reads is written in the same
 // transaction.
 func (b rolloutStore) Save(ctx context.Context, r rollout.Record) (rollout.Record, error) {
 	row, kept, err := b.load(ctx, r.Service)
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -44,7 +44,7 @@
 	defer cancel()
 	if err := n.callerServer.shutdown(ctx); err != nil {
 		n.log.Warn("requests aborted: the process is about to end", "in_flight", n.passThrough.InFlight())
-		n.passThrough.Cut()
+		n.passThrough.Abort()
 		time.Sleep(abortTime)
 		return
 	}
--- a/internal/entry/suspended.go
+++ b/internal/entry/suspended.go
@@ -17,14 +17,14 @@
 	now := time.Now()
 	n.untrustedSince.Store(&now)
 	n.log.Warn("host was suspended, asking the store for changes", "ms", gap.Milliseconds(), "in_flight", n.passThrough.InFlight())
-	n.passThrough.Woke(gap)
+	n.passThrough.HostResumed(gap)
 	for _, t := range n.followedTables() {
-		t.Distrust()
+		t.Invalidate()
 	}
 	n.follower.Renew()
-	n.limiter.Clear()
-	n.gate.Lapse()
-	n.owner.Lapse()
+	n.limiter.DropPermits()
+	n.gate.Expire()
+	n.owner.Expire()
 	// The other ends of these connections may be gone.
 	n.env.Conns.Close()
 }
@@ -43,7 +43,7 @@
 	if since == nil {
 		return true
 	}
-	confirmed := n.targetTable.Trusted() && n.configTable.Trusted()
+	confirmed := n.targetTable.Confirmed() && n.configTable.Confirmed()
 	if !confirmed && time.Since(*since) < maxDistrust {
 		return false
 	}
--- a/internal/entry/versions.go
+++ b/internal/entry/versions.go
@@ -31,8 +31,8 @@
 	requested store.Version
 }
 
-// Mine implements peer.Versions.
-func (v *versionTracker) Mine() store.Version {
+// Current implements peer.Versions.
+func (v *versionTracker) Current() store.Version {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.own
@@ -47,8 +47,8 @@
 	}
 }
 
-// Heard implements peer.Versions.
-func (v *versionTracker) Heard(version store.Version) {
+// Observe implements peer.Versions.
+func (v *versionTracker) Observe(version store.Version) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.newest = v.newest.Max(version)
@@ -71,5 +71,5 @@
 	v.requested = newest
 	v.mu.Unlock()
 	v.n.log.Warn("another node reports a newer operator row, asking the store again", "row_version", own, "newer", newest)
-	v.n.configTable.Poke()
+	v.n.configTable.PollNow()
 }
--- a/internal/experiment/capacity/measures.go
+++ b/internal/experiment/capacity/measures.go
@@ -60,7 +60,7 @@
 
 func tableOf(s Size) *targets.Table {
 	t := targets.New("dc0")
-	t.Change(targets.News{Listed: listOf(s)}, time.Time{})
+	t.Change(targets.ListUpdate{Updated: listOf(s)}, time.Time{})
 	return t
 }
 
@@ -69,7 +69,7 @@
 	return micros(func() {
 		last++
 		changed.Revision = store.Version{Number: last}
-		t.Change(targets.News{Listed: []targets.Target{changed}}, time.Time{})
+		t.Change(targets.ListUpdate{Updated: []targets.Target{changed}}, time.Time{})
 	})
 }
 
@@ -81,7 +81,7 @@
 	}
 	at, last := whole.Version, int64(s.Targets)
 	take := func(n watch.News) {
-		if err := t.Take(n); err != nil {
+		if err := t.ApplyUpdate(n); err != nil {
 			// The copy is only told what goes on where it ends.
 			panic(err)
 		}
@@ -119,16 +119,16 @@
 
 func (p *pool) Free(context.Context, string, []string) error { return nil }
 
-func (p *pool) Room(context.Context, string) (int64, error) {
+func (p *pool) Space(context.Context, string) (int64, error) {
 	p.asked.Add(1)
 	return 1 << 30, nil
 }
 
-func (p *pool) Maker(handle string) string { return handle }
+func (p *pool) HolderAddr(handle string) string { return handle }
 
 func formerOf(s Size) (*pool, *stagebatch.Former) {
 	p := &pool{}
-	spec := &routes.Batch{Slots: 1, Queue: 2, Items: 8, CallTime: 200 * time.Millisecond, ItemTime: 20 * time.Millisecond, RoomBytes: 1 << 30, Keep: time.Second}
+	spec := &routes.Batch{Slots: 1, Queue: 2, Items: 8, CallTime: 200 * time.Millisecond, ItemTime: 20 * time.Millisecond, ResultSpace: 1 << 30, Keep: time.Second}
 	f := stagebatch.NewFormer(p, tableOf(s), func(string) *routes.Batch { return spec }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	f.Name = "node-0"
 	return p, f
@@ -178,11 +178,11 @@
 func nodesOf(s Size) []stagebatch.Node {
 	out := make([]stagebatch.Node, s.Hosts)
 	for i := range out {
-		means := stagebatch.Means{LinkBytes: 2.5e6, Processors: 0.2}
+		means := stagebatch.Capacity{LinkBytes: 2.5e6, Processors: 0.2}
 		if i%16 == 0 {
-			means = stagebatch.Means{LinkBytes: 125e6, Processors: 1.6}
+			means = stagebatch.Capacity{LinkBytes: 125e6, Processors: 1.6}
 		}
-		out[i] = stagebatch.Node{Name: fmt.Sprint("node-", i), Addr: "10.0.0.1:1", DataCentre: fmt.Sprint("dc", i%dataCentres), Means: means}
+		out[i] = stagebatch.Node{Name: fmt.Sprint("node-", i), Addr: "10.0.0.1:1", DataCentre: fmt.Sprint("dc", i%dataCentres), Capacity: means}
 	}
 	return out
 }
@@ -191,7 +191,7 @@
 	_, f := formerOf(Size{Hosts: 1, Targets: dataCentres})
 	nodes := nodesOf(s)
 	r := stagebatch.NewRouter(nodes[0], f, nil, func() []stagebatch.Node { return nodes[1:] }, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	return micros(func() { r.First(stagePool) })
+	return micros(func() { r.FirstBatchNode(stagePool) })
 }
 
 func choiceOfTheTeller(s Size) Figure {
@@ -216,7 +216,7 @@
 		b := flow.NewRepeatBudgets(repeatRatio, repeatFixed, repeatWindow, func() int { return s.Hosts },
 			func(context.Context, string, float64) bool { return true })
 		// The node has its part by now.
-		b.Credit(repeatWindow)
+		b.BackdateStart(repeatWindow)
 		b.Request(enginePool)
 		if b.Take(context.Background(), enginePool) {
 			repeated++
--- a/internal/experiment/capacity_test.go
+++ b/internal/experiment/capacity_test.go
@@ -238,7 +238,7 @@
 			ack.Kind, ack.From, ack.News = ackKind, p.Msg.Subject, nil
 			st.Receive(now, p.Addr, ack)
 		}
-		if st.NewsWaiting() == 0 {
+		if st.PendingUpdates() == 0 {
 			break
 		}
 	}
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -366,7 +366,7 @@
 	nodes := make([]Policy, d.Nodes)
 	var scheds []*scheduler.Scheduler
 	for i := range nodes {
-		table := ledger.NewTableBook(twin, 20*time.Millisecond, quiet)
+		table := ledger.NewTableRegistry(twin, 20*time.Millisecond, quiet)
 		if policy == "naive" {
 			nodes[i] = &naiveNode{r: naive.New(t, t.Hosts()), claims: table}
 			continue
@@ -375,8 +375,8 @@
 		s.SetHosts(t.Hosts(), func(string) bool { return false })
 		s.SetNodes(d.Nodes)
 		scheds = append(scheds, s)
-		tickets := ledger.NewTickets([]byte("secret"), fmt.Sprint(i), fmt.Sprint(i), "1", time.Hour, newNonce())
-		nodes[i] = &node{r: pipeline.NewRunner(s, t, sets, ignore{}, quiet), tickets: tickets, claims: ledger.NewTicketBook(tickets)}
+		tickets := ledger.NewTicketIssuer([]byte("secret"), fmt.Sprint(i), fmt.Sprint(i), "1", time.Hour, newNonce())
+		nodes[i] = &node{r: pipeline.NewRunner(s, t, sets, ignore{}, quiet), tickets: tickets, claims: ledger.NewTicketRegistry(tickets)}
 	}
 	if len(scheds) > 0 {
 		go reports(ctx, sc, t, scheds)
@@ -404,8 +404,8 @@
 				if rng.Float64() < sc.LostReports {
 					continue
 				}
-				sent := s.Sent(h.Pool, h.ID)
-				time.AfterFunc(sc.ReportLag, func() { s.Report(h.Pool, h.ID, load, sent) })
+				sent := s.InFlight(h.Pool, h.ID)
+				time.AfterFunc(sc.ReportLag, func() { s.RecordLoad(h.Pool, h.ID, load, sent) })
 			}
 		}
 	}
@@ -415,8 +415,8 @@
 type node struct {
 	r       *pipeline.Runner
 	mu      sync.Mutex
-	tickets *ledger.Tickets
-	claims  ledger.Book
+	tickets *ledger.TicketIssuer
+	claims  ledger.Registry
 }
 
 // Run implements Policy. A request that may not be repeated comes with a
@@ -439,7 +439,7 @@
 // naiveNode is the baseline: every claim is a row in the table service.
 type naiveNode struct {
 	r      *naive.Runner
-	claims ledger.Book
+	claims ledger.Registry
 }
 
 // Run implements Policy.
@@ -452,7 +452,7 @@
 	return n.r.Run(ctx, req)
 }
 
-func claim(ctx context.Context, b ledger.Book, req *pipeline.Request, key string) error {
+func claim(ctx context.Context, b ledger.Registry, req *pipeline.Request, key string) error {
 	_, err := b.Claim(ctx, ledger.Claim{
 		Key: ledger.Key{Account: req.Account, Key: key}, Attempt: req.ID, Until: req.Deadline,
 	})
--- a/internal/experiment/rates/measure.go
+++ b/internal/experiment/rates/measure.go
@@ -131,7 +131,7 @@
 			continue
 		}
 		last = max(last, i)
-		for last+1 < len(arrivals) && arrivals[last+1].at-first.at <= sharedrate.Span {
+		for last+1 < len(arrivals) && arrivals[last+1].at-first.at <= sharedrate.BoundWindow {
 			last++
 		}
 		rate := 0.0
@@ -139,7 +139,7 @@
 			rate = max(rate, a.rate)
 		}
 		if !math.IsInf(rate, 1) {
-			worst = max(worst, float64(last-i+1)/(sharedrate.Excess*sharedrate.Span.Seconds()*rate+sharedrate.Fixed))
+			worst = max(worst, float64(last-i+1)/(sharedrate.BoundFactor*sharedrate.BoundWindow.Seconds()*rate+sharedrate.BoundBurst))
 		}
 	}
 	return worst
--- a/internal/experiment/rates/model.go
+++ b/internal/experiment/rates/model.go
@@ -199,7 +199,7 @@
 		return
 	}
 	r.tally.refused++
-	since := max(r.now-sharedrate.Span, 0)
+	since := max(r.now-sharedrate.BoundWindow, 0)
 	i, _ := slices.BinarySearchFunc(t.arrivals, since, func(a arrival, at time.Duration) int { return int(a.at - at) })
 	if float64(len(t.arrivals)-i+1) <= t.perSecond*(r.now-since).Seconds() {
 		r.tally.refusedWithRoom++
@@ -212,7 +212,7 @@
 }
 
 // ask carries an ask to another node and its answer back.
-func (r *run) ask(from, to *node, a sharedrate.Ask, answer func(g sharedrate.Grant, err error)) {
+func (r *run) ask(from, to *node, a sharedrate.PermitRequest, answer func(g sharedrate.Grant, err error)) {
 	r.tally.asks[from.index]++
 	r.tally.asks[to.index]++
 	asker := from.way
@@ -311,7 +311,7 @@
 
 // firstOf returns the node that comes first for a target.
 func (r *run) firstOf(key string) *node {
-	owners := sharedrate.NewOwners(sharedrate.Node{Name: r.nodes[0].name}, r.epoch)
+	owners := sharedrate.NewGranterOrder(sharedrate.Node{Name: r.nodes[0].name}, r.epoch)
 	var others []sharedrate.Node
 	for _, n := range r.nodes[1:] {
 		others = append(others, sharedrate.Node{Name: n.name})
--- a/internal/experiment/rates/ways.go
+++ b/internal/experiment/rates/ways.go
@@ -34,7 +34,7 @@
 type sharer interface {
 	// acquire calls done when the request may be sent, or may not be.
 	acquire(t *target, done func(ok bool))
-	grant(a sharedrate.Ask) sharedrate.Grant
+	grant(a sharedrate.PermitRequest) sharedrate.Grant
 	setNodes(others []*node, now time.Time)
 }
 
@@ -77,11 +77,11 @@
 	p.broker.SetNodes(list, now)
 }
 
-func (p *permits) grant(a sharedrate.Ask) sharedrate.Grant {
+func (p *permits) grant(a sharedrate.PermitRequest) sharedrate.Grant {
 	g, look := p.broker.Grant(a, p.r.clock())
 	for _, n := range look {
-		p.r.ask(p.n, p.byName[n.Name], sharedrate.Ask{}, func(_ sharedrate.Grant, err error) {
-			p.broker.Answered(n.Name, err, p.r.clock())
+		p.r.ask(p.n, p.byName[n.Name], sharedrate.PermitRequest{}, func(_ sharedrate.Grant, err error) {
+			p.broker.RecordAnswer(n.Name, err, p.r.clock())
 		})
 	}
 	return g
@@ -95,7 +95,7 @@
 			p.use(permit, done)
 			return
 		}
-		if opens := p.broker.Opens(t.key); now.Before(opens) && latest.Before(opens) {
+		if opens := p.broker.RetryAt(t.key); now.Before(opens) && latest.Before(opens) {
 			done(false)
 			return
 		}
@@ -118,7 +118,7 @@
 func (p *permits) ask(t *target, tries int) {
 	p.asking[t.key] = true
 	now := p.r.clock()
-	to, ok := p.broker.Whom(t.key, now)
+	to, ok := p.broker.GranterFor(t.key, now)
 	asked := len(p.waiting[t.key])
 	var latest time.Time
 	for _, w := range p.waiting[t.key] {
@@ -126,7 +126,7 @@
 			latest = w.latest
 		}
 	}
-	a := p.broker.Ask(sharedrate.Rate{Key: t.key, PerSecond: t.perSecond, Heard: t.heard}, asked, latest, now)
+	a := p.broker.PermitRequest(sharedrate.Rate{Key: t.key, PerSecond: t.perSecond, Heard: t.heard}, asked, latest, now)
 	switch {
 	case !ok:
 		p.answered(t, asked, nil)
@@ -135,7 +135,7 @@
 		p.answered(t, asked, &g)
 	default:
 		p.r.ask(p.n, p.byName[to.Name], a, func(g sharedrate.Grant, err error) {
-			p.broker.Answered(to.Name, err, p.r.clock())
+			p.broker.RecordAnswer(to.Name, err, p.r.clock())
 			switch {
 			case err == nil:
 				p.answered(t, asked, &g)
@@ -151,7 +151,7 @@
 // answered gives the requests that wait what was granted.
 func (p *permits) answered(t *target, asked int, g *sharedrate.Grant) {
 	now := p.r.clock()
-	p.broker.Granted(t.key, g, now)
+	p.broker.ApplyGrant(t.key, g, now)
 	p.asking[t.key] = false
 	waiting := p.waiting[t.key]
 	p.waiting[t.key] = nil
@@ -179,12 +179,12 @@
 	next map[string]time.Duration
 	// nodes is how many it knows, itself included.
 	nodes  int
-	owners *sharedrate.Owners
+	owners *sharedrate.GranterOrder
 }
 
 func (a *alone) setNodes(others []*node, now time.Time) {
 	a.nodes = len(others) + 1
-	a.owners = sharedrate.NewOwners(sharedrate.Node{Name: a.n.name}, now)
+	a.owners = sharedrate.NewGranterOrder(sharedrate.Node{Name: a.n.name}, now)
 	var list []sharedrate.Node
 	for _, n := range others {
 		list = append(list, sharedrate.Node{Name: n.name})
@@ -218,4 +218,4 @@
 	a.r.at(next, func() { done(true) })
 }
 
-func (a *alone) grant(sharedrate.Ask) sharedrate.Grant { return sharedrate.Grant{} }
+func (a *alone) grant(sharedrate.PermitRequest) sharedrate.Grant { return sharedrate.Grant{} }
--- a/internal/experiment/rollouts/model.go
+++ b/internal/experiment/rollouts/model.go
@@ -262,7 +262,7 @@
 			Node: strconv.Itoa(i), Order: r.order, Evidence: n.evidence.Clone(), OldInFlight: n.oldInFlight, Has: n.has, Hold: hold,
 		}
 		if !r.state.Final() {
-			r.trial.Take(report, r.began.Add(r.now))
+			r.trial.AddReport(report, r.began.Add(r.now))
 			r.res.Reports++
 			r.res.Bytes += r.size(report)
 		}
--- a/internal/experiment/stagepools.go
+++ b/internal/experiment/stagepools.go
@@ -162,7 +162,7 @@
 		p.made[id]++
 		out[i].Handle = fmt.Sprintf("%s/%s/%d", t.Addr, id, p.made[id])
 	}
-	return stagebatch.Reply{Results: out, Others: p.waiting[t.Addr]}, nil
+	return stagebatch.Reply{Results: out, OtherCalls: p.waiting[t.Addr]}, nil
 }
 
 func (p *stagePool) enter(addr string) (chan struct{}, error) {
@@ -190,11 +190,11 @@
 	return nil
 }
 
-// Room implements stagebatch.Worker.
-func (p *stagePool) Room(context.Context, string) (int64, error) { return p.spec.RoomBytes, nil }
+// Space implements stagebatch.Worker.
+func (p *stagePool) Space(context.Context, string) (int64, error) { return p.spec.ResultSpace, nil }
 
-// Maker implements stagebatch.Worker.
-func (p *stagePool) Maker(handle string) string {
+// HolderAddr implements stagebatch.Worker.
+func (p *stagePool) HolderAddr(handle string) string {
 	addr, _, _ := strings.Cut(handle, "/")
 	return addr
 }
@@ -260,7 +260,7 @@
 	switch {
 	case h.isDead(addr):
 	case ifTight:
-		h.formers[addr].FreeIfTight(service, handles)
+		h.formers[addr].FreeIfNearlyFull(service, handles)
 	default:
 		h.formers[addr].Free(service, handles)
 	}
@@ -282,7 +282,7 @@
 			DataCentre: fmt.Sprint("dc", i%stageDataCentres), Slots: sc.Spec.Slots,
 		})
 	}
-	list.Update(all, time.Time{})
+	list.Replace(all, time.Time{})
 	hosts := &stageHosts{formers: make(map[string]*stagebatch.Former), dead: make(map[string]bool)}
 	routers := make([]*stagebatch.Router, sc.Hosts)
 	spec := func(string) *routes.Batch { return &sc.Spec }
@@ -314,7 +314,7 @@
 	var took []time.Duration
 	met := 0
 	if sc.FormerDies {
-		time.AfterFunc(sc.Span/2, func() { hosts.kill(routers[0].First(stageService)) })
+		time.AfterFunc(sc.Span/2, func() { hosts.kill(routers[0].FirstBatchNode(stageService)) })
 	}
 	start := time.Now()
 	var wg sync.WaitGroup
--- a/internal/experiment/stagepools_test.go
+++ b/internal/experiment/stagepools_test.go
@@ -15,7 +15,7 @@
 // stageScenarios are a pool of today's deployments (calls of 200 ms, 8 ms a piece,
 // 22 pieces a call), and of the size to design for.
 func stageScenarios() []StageScenario {
-	spec := routes.Batch{Slots: 1, Queue: 2, Items: 22, CallTime: 200 * time.Millisecond, ItemTime: 8 * time.Millisecond, RoomBytes: 1 << 30, Keep: 4 * time.Second}
+	spec := routes.Batch{Slots: 1, Queue: 2, Items: 22, CallTime: 200 * time.Millisecond, ItemTime: 8 * time.Millisecond, ResultSpace: 1 << 30, Keep: 4 * time.Second}
 	today := StageScenario{Hosts: 6, Targets: 5, Spec: spec, Orders: 24, Pieces: 6, Objective: time.Second, Burst: 1, Span: 30 * time.Second}
 	with := func(name string, change func(*StageScenario)) StageScenario {
 		sc := today
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -122,7 +122,7 @@
 	l.Refused(epoch)
 	c.Assert(l.Calls(), qt.Equals, 7)
 	for range 60 {
-		l.Done(10*time.Millisecond, epoch.Add(time.Second))
+		l.RecordLatency(10*time.Millisecond, epoch.Add(time.Second))
 	}
 	c.Assert(l.Calls(), qt.Equals, 10)
 	for i := range 100 {
--- a/internal/flow/limit.go
+++ b/internal/flow/limit.go
@@ -45,8 +45,8 @@
 // Calls returns the number of calls allowed in flight, at least 1.
 func (l *Limit) Calls() int { return int(math.Ceil(l.current - 1e-9)) }
 
-// Done records the latency of a successful call.
-func (l *Limit) Done(latency time.Duration, now time.Time) {
+// RecordLatency records the latency of a successful call.
+func (l *Limit) RecordLatency(latency time.Duration, now time.Time) {
 	if l.typicalLatency == 0 {
 		l.typicalLatency = latency
 	}
--- a/internal/flow/repeats.go
+++ b/internal/flow/repeats.go
@@ -104,7 +104,7 @@
 	return true
 }
 
-// Credit moves the start of the budgets back by d, as if the process had started
+// BackdateStart moves the start of the budgets back by d, as if the process had started
 // earlier. It affects only services without a bucket yet, and is not safe for concurrent use. It
 // is for simulations.
-func (b *RepeatBudgets) Credit(d time.Duration) { b.started = b.started.Add(-d) }
+func (b *RepeatBudgets) BackdateStart(d time.Duration) { b.started = b.started.Add(-d) }
--- a/internal/frontdoor/frontdoor.go
+++ b/internal/frontdoor/frontdoor.go
@@ -29,7 +29,7 @@
 	// Runner runs the pipelines.
 	Runner *pipeline.Runner
 	// Ledger stores the claims of request keys and the outcomes.
-	Ledger ledger.Book
+	Ledger ledger.Registry
 	// IssueTicket returns a new request ticket for an account.
 	IssueTicket func(account string) string
 	// NewID returns an ID that is unique among all nodes.
--- a/internal/frontdoor/frontdoor_test.go
+++ b/internal/frontdoor/frontdoor_test.go
@@ -53,9 +53,9 @@
 	sched := scheduler.New(scheduler.DefaultConfig("dc", 1))
 	sched.SetHosts([]store.Host{{ID: "t", Pool: "svc", Slots: 4, State: store.Live}}, func(string) bool { return false })
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	tickets := ledger.NewTickets([]byte("secret"), "n", "10.0.0.1:1", "i", time.Minute, func() string { return "nonce" })
-	ticketBook := ledger.NewTicketBook(tickets)
-	router := ledger.NewRouter("n", tickets, ticketBook, ledger.NewTableBook(store.NewMemory(), time.Millisecond, log), ledger.Alone{})
+	tickets := ledger.NewTicketIssuer([]byte("secret"), "n", "10.0.0.1:1", "i", time.Minute, func() string { return "nonce" })
+	ticketBook := ledger.NewTicketRegistry(tickets)
+	router := ledger.NewRouter("n", tickets, ticketBook, ledger.NewTableRegistry(store.NewMemory(), time.Millisecond, log), ledger.NoPeers{})
 	id := 0
 	return New(Config{
 		Node: "n", Catalog: func() *catalog.Compiled { return cfg },
--- a/internal/httpconn/httpconn_test.go
+++ b/internal/httpconn/httpconn_test.go
@@ -57,7 +57,7 @@
 }
 
 func newPool(t testing.TB) *Pool {
-	p := New(Config{Dial: (&net.Dialer{}).DialContext, Belongs: belongs, IdleTimeout: time.Minute, MaxIdle: 4})
+	p := New(Config{Dial: (&net.Dialer{}).DialContext, AnswerMatches: belongs, IdleTimeout: time.Minute, MaxIdle: 4})
 	t.Cleanup(p.Close)
 	return p
 }
@@ -373,7 +373,7 @@
 	never := func() bool { return false }
 	for i := range 3 {
 		withheld := get(fmt.Sprint("withheld-", i))
-		withheld.May = never
+		withheld.ShouldSend = never
 		_, err := p.Do(t.Context(), addr, withheld)
 		var ce *Error
 		c.Assert(errors.As(err, &ce), qt.IsTrue)
--- a/internal/httpconn/pool.go
+++ b/internal/httpconn/pool.go
@@ -21,8 +21,8 @@
 // Config configures a Pool.
 type Config struct {
 	Dial Dial
-	// Belongs reports whether an answer belongs to the request with this ID.
-	Belongs func(h http.Header, id string) bool
+	// AnswerMatches reports whether an answer belongs to the request with this ID.
+	AnswerMatches func(h http.Header, id string) bool
 	// IdleTimeout is how long an idle connection may be reused. A shorter timeout
 	// in the target's Keep-Alive header, less idleMargin, takes precedence.
 	IdleTimeout time.Duration
@@ -115,8 +115,8 @@
 	p.putIdle(c)
 }
 
-// Forget closes the idle connections to a target.
-func (p *Pool) Forget(addr string) {
+// CloseIdle closes the idle connections to a target.
+func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
 	list := p.idle[addr]
 	delete(p.idle, addr)
@@ -126,8 +126,8 @@
 	}
 }
 
-// Sweep closes idle connections that have expired.
-func (p *Pool) Sweep(now time.Time) {
+// CloseExpired closes idle connections that have expired.
+func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for addr, list := range p.idle {
--- a/internal/httpconn/request.go
+++ b/internal/httpconn/request.go
@@ -15,18 +15,18 @@
 
 // Request is one HTTP request to a target.
 type Request struct {
-	// ID identifies the request; Config.Belongs matches answers against it.
+	// ID identifies the request; Config.AnswerMatches matches answers against it.
 	ID string
 	// Method, Target (path and query) and Host are sent unchanged.
 	Method, Target, Host string
 	Header               http.Header
 	Body                 []byte
-	// Fresh requires a new connection. If a new connection closes, the target closed it or
+	// NewConn requires a new connection. If a new connection closes, the target closed it or
 	// terminated after it was opened; it can't be an idle connection that had timed out.
-	Fresh bool
-	// May, if set, is called after a connection was obtained, which may take a while, and
+	NewConn bool
+	// ShouldSend, if set, is called after a connection was obtained, which may take a while, and
 	// before the first byte is written. If it returns false, nothing is sent.
-	May func() bool
+	ShouldSend func() bool
 }
 
 // Answer is a target's answer, of which the status and the header were read. The caller must
@@ -51,7 +51,7 @@
 	// Refused is set if connecting failed with a *net.OpError that is neither a timeout
 	// nor a cancellation, such as a refused connection.
 	Refused bool
-	// Withheld is set if the request was not sent because Request.May returned false.
+	// Withheld is set if the request was not sent because Request.ShouldSend returned false.
 	Withheld bool
 	cause    error
 }
@@ -77,11 +77,11 @@
 // are of type *Error. If ctx ends before the answer was read completely, the connection is
 // closed.
 func (p *Pool) Do(ctx context.Context, addr string, r *Request) (*Answer, error) {
-	c, err := p.get(ctx, addr, r.Fresh)
+	c, err := p.get(ctx, addr, r.NewConn)
 	if err != nil {
 		return nil, &Error{cause: eris.Wrap(err, "connect"), Refused: refused(err)}
 	}
-	if r.May != nil && !r.May() {
+	if r.ShouldSend != nil && !r.ShouldSend() {
 		p.release(c)
 		return nil, &Error{Withheld: true, cause: errWithheld}
 	}
@@ -92,7 +92,7 @@
 		x.end(false)
 		if c.used {
 			// The target may have closed its other idle connections too, or terminated.
-			p.Forget(addr)
+			p.CloseIdle(addr)
 		}
 		return nil, &Error{Sent: true, Reused: c.used, cause: err}
 	}
@@ -169,7 +169,7 @@
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
-		if x.p.cfg.Belongs(resp.Header, x.r.ID) {
+		if x.p.cfg.AnswerMatches(resp.Header, x.r.ID) {
 			return resp, nil
 		}
 		if stray++; stray > maxStray || resp.Close || resp.ContentLength < 0 || resp.ContentLength > maxStrayBytes {
--- a/internal/ledger/commit.go
+++ b/internal/ledger/commit.go
@@ -37,7 +37,7 @@
 	err   error
 }
 
-func (b *TableBook) enqueue(o *op) error {
+func (b *TableRegistry) enqueue(o *op) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if o.kind == claimOp && time.Now().Before(b.refuseUntil) {
@@ -56,7 +56,7 @@
 }
 
 // commitQueue commits groups until the queue is empty.
-func (b *TableBook) commitQueue() {
+func (b *TableRegistry) commitQueue() {
 	for {
 		b.waitInterval()
 		group := b.nextGroup()
@@ -68,7 +68,7 @@
 }
 
 // waitInterval waits until the interval since the last commit has passed.
-func (b *TableBook) waitInterval() {
+func (b *TableRegistry) waitInterval() {
 	b.mu.Lock()
 	wait := time.Until(b.lastCommit.Add(b.interval))
 	b.mu.Unlock()
@@ -79,7 +79,7 @@
 
 // nextGroup removes a group from the queue in which each row occurs once. Without
 // one it returns nil and marks the committing goroutine as ended.
-func (b *TableBook) nextGroup() []*op {
+func (b *TableRegistry) nextGroup() []*op {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	rows := make(map[string]bool)
@@ -107,7 +107,7 @@
 
 // commit commits the group and sends every op its result. It retries what a
 // conflict or a lost reply left unapplied.
-func (b *TableBook) commit(group []*op) {
+func (b *TableRegistry) commit(group []*op) {
 	for len(group) > 0 {
 		ctx, cancel := context.WithDeadline(context.Background(), latestDeadline(group))
 		version, err := b.tables.Commit(ctx, newTx(group))
@@ -131,13 +131,13 @@
 	}
 }
 
-func (b *TableBook) markUnavailable() {
+func (b *TableRegistry) markUnavailable() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refuseUntil = time.Now().Add(unavailablePause)
 }
 
-func (b *TableBook) countCommit(ops int) {
+func (b *TableRegistry) countCommit(ops int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.stats.Commits++
@@ -178,7 +178,7 @@
 // resolve handles the ops whose conditions failed by reading their rows. It
 // returns the ops to commit again: those whose conditions held, which were not
 // applied, and those that may replace a released claim.
-func (b *TableBook) resolve(group []*op, failed []int) []*op {
+func (b *TableRegistry) resolve(group []*op, failed []int) []*op {
 	conflicting := make(map[int]bool, len(failed))
 	for _, i := range failed {
 		conflicting[i] = true
@@ -196,7 +196,7 @@
 // with. It returns true instead if the row is that of a released claim, which
 // the op may replace: the condition on the row's version fails if another
 // attempt claims the key in between.
-func (b *TableBook) readBack(o *op) (retry bool) {
+func (b *TableRegistry) readBack(o *op) (retry bool) {
 	if o.kind == finishOp {
 		// Another commit, possibly an earlier one of this node, changed the row;
 		// Finish reads it again and decides.
@@ -229,7 +229,7 @@
 // transaction is atomic, so one row shows it for the group. If it was not,
 // resolveLostReply returns the group for another commit; the conditions make
 // that commit safe even if the lost one is applied late.
-func (b *TableBook) resolveLostReply(group []*op) []*op {
+func (b *TableRegistry) resolveLostReply(group []*op) []*op {
 	for {
 		ctx, cancel := context.WithDeadline(context.Background(), latestDeadline(group))
 		applied, err := b.applied(ctx, group[0])
@@ -249,6 +249,6 @@
 	}
 }
 
-func (b *TableBook) applied(ctx context.Context, o *op) (bool, error) {
+func (b *TableRegistry) applied(ctx context.Context, o *op) (bool, error) {
 	return store.Applied(ctx, b.tables, claimTable, o.write.Key, o.write.Value)
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -76,8 +76,8 @@
 	Existing Record
 }
 
-// Book is a registry of claims.
-type Book interface {
+// Registry is a registry of claims.
+type Registry interface {
 	// Claim grants the key to one attempt until Finish releases it or its
 	// record is deleted after the time for repeats has passed. A repeated
 	// call of the same attempt is granted again until it has an outcome. After
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -117,9 +117,9 @@
 
 func runBooks(steps []linStep) []porcupine.Operation {
 	tables := store.NewMemory()
-	books := make([]*TableBook, 3)
+	books := make([]*TableRegistry, 3)
 	for i := range books {
-		books[i] = NewTableBook(tables, 5*time.Millisecond, discardLog)
+		books[i] = NewTableRegistry(tables, 5*time.Millisecond, discardLog)
 	}
 	h := &history{}
 	var wg sync.WaitGroup
@@ -143,7 +143,7 @@
 	ops []porcupine.Operation
 }
 
-func (h *history) attempt(b *TableBook, client int, s linStep) {
+func (h *history) attempt(b *TableRegistry, client int, s linStep) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	c := Claim{Key: Key{"a", "k"}, Attempt: fmt.Sprint("attempt", client), Until: time.Now().Add(2 * time.Second)}
@@ -190,16 +190,16 @@
 	h.ops = append(h.ops, porcupine.Operation{ClientId: client + 100*len(h.ops), Input: in, Output: out, Call: start.UnixNano(), Return: end})
 }
 
-func testTickets(incarnation string) *Tickets {
+func testTickets(incarnation string) *TicketIssuer {
 	n := 0
-	return NewTickets([]byte("secret"), "node", "10.0.0.1:1", incarnation, time.Minute, func() string { n++; return fmt.Sprint(n) })
+	return NewTicketIssuer([]byte("secret"), "node", "10.0.0.1:1", incarnation, time.Minute, func() string { n++; return fmt.Sprint(n) })
 }
 
 func TestTicketIsGrantedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		tickets := testTickets("1")
-		b := NewTicketBook(tickets)
+		b := NewTicketRegistry(tickets)
 		key := Key{"a", tickets.Issue("a", time.Now())}
 		first := Claim{Key: key, Attempt: "1", Until: time.Now().Add(time.Second)}
 		second := first
@@ -228,10 +228,10 @@
 	c := qt.New(t)
 	old := testTickets("1")
 	ticket := old.Issue("a", time.Now())
-	restarted := NewTicketBook(testTickets("2"))
+	restarted := NewTicketRegistry(testTickets("2"))
 	_, err := restarted.Claim(t.Context(), Claim{Key: Key{"a", ticket}, Attempt: "1"})
 	c.Assert(verdict.Of(err), qt.Equals, verdict.MayHaveRun)
-	_, err = NewTicketBook(old).Claim(t.Context(), Claim{Key: Key{"b", ticket}, Attempt: "1"})
+	_, err = NewTicketRegistry(old).Claim(t.Context(), Claim{Key: Key{"b", ticket}, Attempt: "1"})
 	c.Assert(verdict.CodeOf(err), qt.Equals, verdict.InvalidRequest)
 }
 
@@ -255,7 +255,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		tables := store.NewMemory()
-		b := NewTableBook(tables, 5*time.Millisecond, discardLog)
+		b := NewTableRegistry(tables, 5*time.Millisecond, discardLog)
 		claim := func(attempt string) Claim {
 			return Claim{Key: Key{"a", "k"}, Attempt: attempt, Until: time.Now().Add(10 * time.Second)}
 		}
@@ -284,7 +284,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		tables := store.NewMemory()
-		b := NewTableBook(tables, 5*time.Millisecond, discardLog)
+		b := NewTableRegistry(tables, 5*time.Millisecond, discardLog)
 		tables.SetFaults(store.Faults{Delay: time.Second})
 		ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 		defer cancel()
--- a/internal/ledger/router.go
+++ b/internal/ledger/router.go
@@ -10,11 +10,11 @@
 
 // Remote gives access to the claim registries of other nodes.
 type Remote interface {
-	// Book returns the registry of a node, or nil if the node is not known.
-	Book(node string) Book
-	// BookAt returns the registry of the node at a peer address, or nil if this
+	// Registry returns the registry of a node, or nil if the node is not known.
+	Registry(node string) Registry
+	// RegistryAt returns the registry of the node at a peer address, or nil if this
 	// node has no peers.
-	BookAt(addr string) Book
+	RegistryAt(addr string) Registry
 	// Committer returns the node that commits claims of this row key, or ""
 	// for this node.
 	Committer(rowKey string) string
@@ -25,14 +25,14 @@
 // implements Book.
 type Router struct {
 	node    string
-	tickets *Tickets
-	issued  *TicketBook
-	table   *TableBook
+	tickets *TicketIssuer
+	issued  *TicketRegistry
+	table   *TableRegistry
 	remote  Remote
 }
 
 // NewRouter returns the router of a node.
-func NewRouter(node string, t *Tickets, issued *TicketBook, table *TableBook, remote Remote) *Router {
+func NewRouter(node string, t *TicketIssuer, issued *TicketRegistry, table *TableRegistry, remote Remote) *Router {
 	return &Router{node: node, tickets: t, issued: issued, table: table, remote: remote}
 }
 
@@ -41,11 +41,11 @@
 
 // Local returns the registries of this node for calls from other nodes. It
 // forwards nothing, so a call crosses nodes at most once.
-func (r *Router) Local() Book { return localRegistry{r} }
+func (r *Router) Local() Registry { return localRegistry{r} }
 
 type localRegistry struct{ r *Router }
 
-func (l localRegistry) forKey(k Key) Book {
+func (l localRegistry) forKey(k Key) Registry {
 	if IsTicket(k.Key) {
 		return l.r.issued
 	}
@@ -68,7 +68,7 @@
 }
 
 // issuer returns the registry of the process that issued a ticket.
-func (r *Router) issuer(k Key) (Book, error) {
+func (r *Router) issuer(k Key) (Registry, error) {
 	t, err := r.tickets.Parse(k.Account, k.Key)
 	if err != nil {
 		return nil, err
@@ -76,7 +76,7 @@
 	if t.Addr == r.tickets.addr {
 		return r.issued, nil
 	}
-	b := r.remote.BookAt(t.Addr)
+	b := r.remote.RegistryAt(t.Addr)
 	if b == nil {
 		return nil, errIssuerGone()
 	}
@@ -114,7 +114,7 @@
 // releaseLostGrant releases, in the background, a ticket whose grant may have
 // been lost in transit, so that a repeat with the ticket can be granted. The
 // attempt does not run, since Claim returns an error.
-func (r *Router) releaseLostGrant(b Book, c Claim, err error) error {
+func (r *Router) releaseLostGrant(b Registry, c Claim, err error) error {
 	if err == nil || isRefusal(err) {
 		return err
 	}
@@ -145,12 +145,12 @@
 }
 
 // committer returns the remote registry that commits c, or nil for this node.
-func (r *Router) committer(c Claim) Book {
+func (r *Router) committer(c Claim) Registry {
 	node := r.remote.Committer(c.rowKey())
 	if node == "" || node == r.node {
 		return nil
 	}
-	return r.remote.Book(node)
+	return r.remote.Registry(node)
 }
 
 // Lookup implements Book.
@@ -169,14 +169,14 @@
 	return rec, found, err
 }
 
-// Alone is the Remote of a node without peers.
-type Alone struct{}
+// NoPeers is the Remote of a node without peers.
+type NoPeers struct{}
 
-// Book implements Remote.
-func (Alone) Book(string) Book { return nil }
+// Registry implements Remote.
+func (NoPeers) Registry(string) Registry { return nil }
 
-// BookAt implements Remote.
-func (Alone) BookAt(string) Book { return nil }
+// RegistryAt implements Remote.
+func (NoPeers) RegistryAt(string) Registry { return nil }
 
 // Committer implements Remote.
-func (Alone) Committer(string) string { return "" }
+func (NoPeers) Committer(string) string { return "" }
--- a/internal/ledger/table.go
+++ b/internal/ledger/table.go
@@ -27,7 +27,7 @@
 func Sweep(t store.Tables, i int, window time.Duration) *control.Sweep {
 	return &control.Sweep{
 		Tables: t, Table: claimTable, Prefixes: []string{hexDigit(2 * i), hexDigit(2*i + 1)},
-		Old: func(r store.Row, now time.Time) bool {
+		Expired: func(r store.Row, now time.Time) bool {
 			rec, err := decodeRecord(r)
 			return err == nil && now.Sub(rec.Until) > window
 		},
@@ -51,12 +51,12 @@
 	unavailablePause = time.Second
 )
 
-// TableBook keeps claims in the table service. The claim of a key is the
+// TableRegistry keeps claims in the table service. The claim of a key is the
 // creation of its row, which the service allows once; no owner or lease is
 // involved. Waiting operations share a commit of up to groupLimit operations,
 // and commits run one at a time, so their number per second is bounded by the
 // interval and not by the request rate.
-type TableBook struct {
+type TableRegistry struct {
 	tables   store.Tables
 	interval time.Duration
 	log      *slog.Logger
@@ -93,20 +93,20 @@
 	Commits, Ops, Dropped int64
 }
 
-// NewTableBook returns a TableBook that takes at most one group from its queue
+// NewTableRegistry returns a TableBook that takes at most one group from its queue
 // per interval.
-func NewTableBook(t store.Tables, interval time.Duration, log *slog.Logger) *TableBook {
+func NewTableRegistry(t store.Tables, interval time.Duration, log *slog.Logger) *TableRegistry {
 	releaseCtx, cancelReleases := context.WithCancel(context.Background())
-	return &TableBook{tables: t, interval: interval, log: log, releaseCtx: releaseCtx, cancelReleases: cancelReleases, versions: make(map[string]rowVersion)}
+	return &TableRegistry{tables: t, interval: interval, log: log, releaseCtx: releaseCtx, cancelReleases: cancelReleases, versions: make(map[string]rowVersion)}
 }
 
 // Close stops retrying the release of abandoned claims. Without Close a release
 // that the service rejects is retried for the life of the process, also through a
 // long outage.
-func (b *TableBook) Close() { b.cancelReleases() }
+func (b *TableRegistry) Close() { b.cancelReleases() }
 
 // Stats returns the counts so far.
-func (b *TableBook) Stats() TableStats {
+func (b *TableRegistry) Stats() TableStats {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.stats
@@ -117,7 +117,7 @@
 	After(2 * time.Second)
 
 // Claim implements Book.
-func (b *TableBook) Claim(ctx context.Context, c Claim) (Grant, error) {
+func (b *TableRegistry) Claim(ctx context.Context, c Claim) (Grant, error) {
 	value, err := json.Marshal(Record{Claim: c})
 	if err != nil {
 		return Grant{}, eris.Wrap(err, "encode claim")
@@ -140,7 +140,7 @@
 
 // releaseAbandoned releases, in the background, a claim whose caller
 // stopped waiting before the result.
-func (b *TableBook) releaseAbandoned(o *op) {
+func (b *TableRegistry) releaseAbandoned(o *op) {
 	go func() {
 		r := <-o.done
 		if r.err == nil && r.grant.Granted {
@@ -153,7 +153,7 @@
 
 // Finish implements Book. It retries until the outcome is recorded, the attempt
 // no longer holds the key, or ctx ends.
-func (b *TableBook) Finish(ctx context.Context, c Claim, out *Outcome) error {
+func (b *TableRegistry) Finish(ctx context.Context, c Claim, out *Outcome) error {
 	for {
 		err := b.tryFinish(ctx, c, out)
 		if err == nil || ctx.Err() != nil {
@@ -167,7 +167,7 @@
 	}
 }
 
-func (b *TableBook) tryFinish(ctx context.Context, c Claim, out *Outcome) error {
+func (b *TableRegistry) tryFinish(ctx context.Context, c Claim, out *Outcome) error {
 	version, held, err := b.heldVersion(ctx, c)
 	if err != nil || !held {
 		return err
@@ -189,7 +189,7 @@
 
 // heldVersion returns the version of the row if the attempt still holds it
 // without an outcome.
-func (b *TableBook) heldVersion(ctx context.Context, c Claim) (version store.Version, held bool, err error) {
+func (b *TableRegistry) heldVersion(ctx context.Context, c Claim) (version store.Version, held bool, err error) {
 	b.mu.Lock()
 	v, ok := b.versions[c.rowKey()]
 	delete(b.versions, c.rowKey())
@@ -212,7 +212,7 @@
 }
 
 // storeVersions stores the row versions of claims that a commit granted.
-func (b *TableBook) storeVersions(group []*op, version store.Version) {
+func (b *TableRegistry) storeVersions(group []*op, version store.Version) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.versions) >= versionsLimit {
@@ -228,7 +228,7 @@
 }
 
 // Lookup implements Book.
-func (b *TableBook) Lookup(ctx context.Context, k Key) (Record, bool, error) {
+func (b *TableRegistry) Lookup(ctx context.Context, k Key) (Record, bool, error) {
 	row, err := b.tables.Get(ctx, claimTable, k.rowKey())
 	if errors.Is(err, store.ErrNotFound) {
 		return Record{}, false, nil
--- a/internal/ledger/ticket.go
+++ b/internal/ledger/ticket.go
@@ -32,9 +32,9 @@
 // IsTicket reports whether an idempotency key is a ticket.
 func IsTicket(key string) bool { return strings.HasPrefix(key, ticketPrefix) }
 
-// Tickets issues and verifies tickets. Every node can verify them because the
+// TicketIssuer issues and verifies tickets. Every node can verify them because the
 // secret is shared; only the issuing process can grant them.
-type Tickets struct {
+type TicketIssuer struct {
 	secret      []byte
 	node        string
 	addr        string
@@ -43,22 +43,22 @@
 	nonce       func() string
 }
 
-// NewTickets returns the issuer of one process. addr is its peer address, the
+// NewTicketIssuer returns the issuer of one process. addr is its peer address, the
 // incarnation must be unique to the process, and nonce must not repeat.
-func NewTickets(secret []byte, node, addr, incarnation string, life time.Duration, nonce func() string) *Tickets {
-	return &Tickets{secret: secret, node: node, addr: addr, incarnation: incarnation, life: life, nonce: nonce}
+func NewTicketIssuer(secret []byte, node, addr, incarnation string, life time.Duration, nonce func() string) *TicketIssuer {
+	return &TicketIssuer{secret: secret, node: node, addr: addr, incarnation: incarnation, life: life, nonce: nonce}
 }
 
 // Issue returns a new ticket for an account. Nothing is stored until it is
 // redeemed.
-func (t *Tickets) Issue(account string, now time.Time) string {
+func (t *TicketIssuer) Issue(account string, now time.Time) string {
 	expires := strconv.FormatInt(now.Add(t.life).Unix(), 36)
 	node := base64.RawURLEncoding.EncodeToString([]byte(t.node + "\x00" + t.addr))
 	payload := ticketPrefix + strings.Join([]string{node, t.incarnation, t.nonce(), expires}, ".")
 	return payload + "." + t.mac(account, payload)
 }
 
-func (t *Tickets) mac(account, payload string) string {
+func (t *TicketIssuer) mac(account, payload string) string {
 	m := hmac.New(sha256.New, t.secret)
 	m.Write([]byte("ticket\x00" + account + "\x00" + payload))
 	return base64.RawURLEncoding.EncodeToString(m.Sum(nil)[:16])
@@ -66,7 +66,7 @@
 
 // Parse checks that key is a ticket of this account. It does not check the
 // expiry: an expired ticket may still be looked up.
-func (t *Tickets) Parse(account, key string) (Ticket, error) {
+func (t *TicketIssuer) Parse(account, key string) (Ticket, error) {
 	bad := verdict.New(verdict.NotRun, verdict.InvalidRequest, "the ticket is not one of this account: get one by POST /v1/tickets")
 	parts := strings.Split(key, ".")
 	if len(parts) != 6 || !IsTicket(key) {
@@ -88,11 +88,11 @@
 	return Ticket{Node: node, Addr: addr, Incarnation: parts[2], Nonce: parts[3], Expires: time.Unix(expires, 0)}, nil
 }
 
-// TicketBook stores in memory the claims of the tickets that this process
+// TicketRegistry stores in memory the claims of the tickets that this process
 // issued. It needs neither the table service nor other nodes: no other process
 // can grant these tickets, whichever processes are paused, disconnected or dead.
-type TicketBook struct {
-	tickets *Tickets
+type TicketRegistry struct {
+	tickets *TicketIssuer
 
 	mu        sync.Mutex
 	records   map[Key]*ticketRecord
@@ -107,9 +107,9 @@
 // sweepInterval is the time between removals of expired records.
 const sweepInterval = 10 * time.Second
 
-// NewTicketBook returns a TicketBook without records.
-func NewTicketBook(t *Tickets) *TicketBook {
-	return &TicketBook{tickets: t, records: make(map[Key]*ticketRecord)}
+// NewTicketRegistry returns a TicketBook without records.
+func NewTicketRegistry(t *TicketIssuer) *TicketRegistry {
+	return &TicketRegistry{tickets: t, records: make(map[Key]*ticketRecord)}
 }
 
 // errIssuerGone is returned for tickets whose issuing process has ended or is
@@ -121,7 +121,7 @@
 }
 
 // parseOwn returns the decoded ticket if this process issued it.
-func (b *TicketBook) parseOwn(k Key) (Ticket, error) {
+func (b *TicketRegistry) parseOwn(k Key) (Ticket, error) {
 	t, err := b.tickets.Parse(k.Account, k.Key)
 	if err != nil {
 		return Ticket{}, err
@@ -133,7 +133,7 @@
 }
 
 // Claim implements Book.
-func (b *TicketBook) Claim(_ context.Context, c Claim) (Grant, error) {
+func (b *TicketRegistry) Claim(_ context.Context, c Claim) (Grant, error) {
 	t, err := b.parseOwn(c.Key)
 	if err != nil {
 		return Grant{}, err
@@ -167,7 +167,7 @@
 }
 
 // Finish implements Book.
-func (b *TicketBook) Finish(_ context.Context, c Claim, out *Outcome) error {
+func (b *TicketRegistry) Finish(_ context.Context, c Claim, out *Outcome) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	rec := b.records[c.Key]
@@ -183,7 +183,7 @@
 }
 
 // Lookup implements Book.
-func (b *TicketBook) Lookup(_ context.Context, k Key) (Record, bool, error) {
+func (b *TicketRegistry) Lookup(_ context.Context, k Key) (Record, bool, error) {
 	if _, err := b.parseOwn(k); err != nil {
 		return Record{}, false, err
 	}
@@ -197,7 +197,7 @@
 }
 
 // removeExpired drops records past their expiry, at most once a sweepInterval.
-func (b *TicketBook) removeExpired(now time.Time) {
+func (b *TicketRegistry) removeExpired(now time.Time) {
 	if now.Before(b.nextSweep) {
 		return
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -193,8 +193,8 @@
 	return m.Health, true
 }
 
-// NewsWaiting returns the number of updates that are still being sent.
-func (s *State) NewsWaiting() int { return len(s.updates) }
+// PendingUpdates returns the number of updates that are still being sent.
+func (s *State) PendingUpdates() int { return len(s.updates) }
 
 // SetRevision records the configuration revision in force on this node. If it is
 // higher than the last one, it returns announcements to announceFanout nodes.
--- a/internal/metrics/entry.go
+++ b/internal/metrics/entry.go
@@ -72,8 +72,8 @@
 	e.stages.WithLabelValues(service, string(outcome)).Observe(took.Seconds())
 }
 
-// Began implements passthrough.Observer.
-func (e *Entry) Began(rank int, estimated, took, objective time.Duration) {
+// ResponseBegan implements passthrough.Observer.
+func (e *Entry) ResponseBegan(rank int, estimated, took, objective time.Duration) {
 	label := strconv.Itoa(rank)
 	e.began.WithLabelValues(label, strconv.FormatBool(took <= objective)).Inc()
 	e.estimateError.WithLabelValues(label).Observe((took - estimated).Seconds())
--- a/internal/node/balance.go
+++ b/internal/node/balance.go
@@ -24,7 +24,7 @@
 		Client: &http.Client{Transport: &http.Transport{DialContext: n.env.Dial, DisableKeepAlives: true}},
 	}
 	s := &control.Shard{
-		Name: "balance", Node: n.s.Node.Name, Task: c, Mine: n.peers.isPreferredNode,
+		Name: "balance", Node: n.s.Node.Name, Task: c, Preferred: n.peers.isPreferredNode,
 		Tables: n.env.Store, NewID: n.env.NewID, Log: n.log,
 	}
 	c.Epoch = s.Epoch
--- a/internal/node/balance_test.go
+++ b/internal/node/balance_test.go
@@ -40,7 +40,7 @@
 		}
 		specs[i].Pool.Balance = balance
 		specs[i].Targets, specs[i].Slots, specs[i].Service = 6, 2, 10*time.Millisecond
-		specs[i].Held = [][]string{{"atlas-7b"}, {"atlas-7b"}, {"atlas-7b"}, {"atlas-7b"}, {"atlas-7b"}, {"brook-7b"}}
+		specs[i].ModelsByTarget = [][]string{{"atlas-7b"}, {"atlas-7b"}, {"atlas-7b"}, {"atlas-7b"}, {"atlas-7b"}, {"brook-7b"}}
 	}
 	cl, err := newClusterWith(2, specs, func(*settings.Settings) {})
 	if err != nil {
--- a/internal/node/batch_test.go
+++ b/internal/node/batch_test.go
@@ -83,7 +83,7 @@
 	}
 	for i, r := range res {
 		input := mustJSON(fmt.Sprintf("%s item %d", name, i))
-		starts := len(world.Starts(input))
+		starts := len(world.StartTimes(input))
 		var problem frontdoor.Problem
 		var reply frontdoor.Reply
 		switch {
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -177,7 +177,7 @@
 func claimAtRate(rate int, span time.Duration) (commits, reads int64, added time.Duration) {
 	mem := store.NewMemory()
 	mem.SetFaults(store.Faults{Delay: 5 * time.Millisecond})
-	book := ledger.NewTableBook(mem, 40*time.Millisecond, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	book := ledger.NewTableRegistry(mem, 40*time.Millisecond, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	var wg sync.WaitGroup
 	var total atomic.Int64
 	n := rate * int(span.Seconds())
@@ -300,7 +300,7 @@
 // the store, so that the others receive the change from their peers.
 func (c *cluster) spreadWithoutStore() (time.Duration, error) {
 	for _, n := range c.all()[1:] {
-		n.gate.SetCut(true)
+		n.gate.SetDisconnected(true)
 	}
 	start := time.Now()
 	err := c.submit([]catalog.Item{{Kind: catalog.DrainItem, Name: "x", Value: []byte(`{"host":"x"}`)}})
--- a/internal/node/books.go
+++ b/internal/node/books.go
@@ -10,40 +10,40 @@
 	"topazmoor/internal/routing"
 )
 
-// localLedger is the ledger.Book of this node's local claims. It looks up n.ledger
+// localLedger is the ledger.Registry of this node's local claims. It looks up n.ledger
 // at each call because the ledger and the peers refer to each other, and the
 // peers are built first.
 type localLedger struct{ n *Node }
 
-// Claim implements ledger.Book.
+// Claim implements ledger.Registry.
 func (b localLedger) Claim(ctx context.Context, c ledger.Claim) (ledger.Grant, error) {
 	return b.n.ledger.Local().Claim(ctx, c)
 }
 
-// Finish implements ledger.Book.
+// Finish implements ledger.Registry.
 func (b localLedger) Finish(ctx context.Context, c ledger.Claim, out *ledger.Outcome) error {
 	return b.n.ledger.Local().Finish(ctx, c, out)
 }
 
-// Lookup implements ledger.Book.
+// Lookup implements ledger.Registry.
 func (b localLedger) Lookup(ctx context.Context, k ledger.Key) (ledger.Record, bool, error) {
 	return b.n.ledger.Local().Lookup(ctx, k)
 }
 
-// Book implements ledger.Remote. It also returns the book of a member marked
+// Registry implements ledger.Remote. It also returns the book of a member marked
 // dead, because the membership view may be wrong. It returns nil for a node that
 // is not a member.
-func (p *peers) Book(node string) ledger.Book {
+func (p *peers) Registry(node string) ledger.Registry {
 	for _, m := range p.n.board.Members.Get() {
 		if m.Name == node {
-			return p.client.Book(m.Addr)
+			return p.client.Registry(m.Addr)
 		}
 	}
 	return nil
 }
 
-// BookAt implements ledger.Remote.
-func (p *peers) BookAt(addr string) ledger.Book { return p.client.Book(addr) }
+// RegistryAt implements ledger.Remote.
+func (p *peers) RegistryAt(addr string) ledger.Registry { return p.client.Registry(addr) }
 
 // Committer implements ledger.Remote. Up to Ledger.Committers live nodes, each
 // node commits its own claims and Committer returns "". Above that number, the
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -44,7 +44,7 @@
 type testNode struct {
 	*Node
 	ip     string
-	gate   *standin.Gate
+	gate   *standin.StoreProxy
 	cancel context.CancelFunc
 	done   chan error
 	dead   atomic.Bool
@@ -142,7 +142,7 @@
 	}
 	c.adjust(&s)
 	s.SetDefaults()
-	gate := standin.NewGate(c.world.Store)
+	gate := standin.NewStoreProxy(c.world.Store)
 	n, err := Provision(s, Env{
 		Dial:         c.net.DialFrom(ip),
 		Listen:       c.net.Listen,
@@ -168,10 +168,10 @@
 		return
 	}
 	c.deadIPs.Store(n.ip, true)
-	n.gate.SetCut(true)
-	n.gate.Thaw()
+	n.gate.SetDisconnected(true)
+	n.gate.Unfreeze()
 	c.partition()
-	c.net.Thaw(n.ip)
+	c.net.Unfreeze(n.ip)
 	n.cancel()
 }
 
@@ -182,7 +182,7 @@
 		_, ok := c.deadIPs.Load(ip)
 		return ok
 	}
-	c.net.SetCut(func(from, to string) bool {
+	c.net.SetPartition(func(from, to string) bool {
 		for _, f := range extra {
 			if f(from, to) {
 				return true
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -95,7 +95,7 @@
 	inCluster(t, 4, func(c *qt.C, cl *cluster) {
 		time.Sleep(20 * time.Second)
 		for _, n := range cl.all()[1:] {
-			n.gate.SetCut(true)
+			n.gate.SetDisconnected(true)
 		}
 		c.Assert(cl.submit([]catalog.Item{{Kind: catalog.DrainItem, Name: "h", Value: []byte(`{"host":"h"}`)}}), qt.IsNil)
 		time.Sleep(3 * time.Second)
@@ -143,8 +143,8 @@
 		c.Assert(cl.submit([]catalog.Item{{Kind: catalog.DrainItem, Name: "h", Value: []byte(`{"host":"h"}`)}}), qt.IsNil)
 		time.Sleep(2 * time.Minute)
 		c.Assert(n.board.Catalog.Get().Drained("h"), qt.IsFalse)
-		n.gate.Thaw()
-		cl.net.Thaw(n.ip)
+		n.gate.Unfreeze()
+		cl.net.Unfreeze(n.ip)
 		time.Sleep(10 * time.Second)
 		c.Assert(n.board.Catalog.Get().Drained("h"), qt.IsTrue)
 	})
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -20,7 +20,7 @@
 	var out []suture.Service
 	add := func(name string, task control.Task) {
 		out = append(out, &control.Shard{
-			Name: name, Node: n.s.Node.Name, Task: task, Mine: n.peers.isPreferredNode,
+			Name: name, Node: n.s.Node.Name, Task: task, Preferred: n.peers.isPreferredNode,
 			Tables: n.env.Store, NewID: n.env.NewID, Log: n.log,
 		})
 	}
@@ -53,5 +53,5 @@
 		}
 		return false
 	}
-	return &control.Sweep{Tables: n.env.Store, Table: nodeTable, Prefixes: []string{""}, Old: gone}
+	return &control.Sweep{Tables: n.env.Store, Table: nodeTable, Prefixes: []string{""}, Expired: gone}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -80,7 +80,7 @@
 	// hosts watches the host table.
 	hosts   *watch.Table
 	ledger  *ledger.Router
-	table   *ledger.TableBook
+	table   *ledger.TableRegistry
 	front   *frontdoor.Server
 	batches *batch.Runner
 	admin   *admin.Server
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -135,7 +135,7 @@
 		}
 		c.Assert(ids[0], qt.Equals, ids[1])
 		c.Assert(ids[0], qt.Equals, ids[2])
-		c.Assert(cl.world.Starts(`"ship"`), qt.HasLen, 1)
+		c.Assert(cl.world.StartTimes(`"ship"`), qt.HasLen, 1)
 	})
 }
 
@@ -146,7 +146,7 @@
 		res, err := cl.confirm(0, "other ship", "k1")
 		c.Assert(err, qt.IsNil)
 		c.Assert(res.Problem.Code, qt.Equals, verdict.KeyReused)
-		c.Assert(cl.world.Starts(`"other ship"`), qt.HasLen, 0)
+		c.Assert(cl.world.StartTimes(`"other ship"`), qt.HasLen, 0)
 	})
 }
 
@@ -191,7 +191,7 @@
 		c.Assert(err, qt.IsNil)
 		c.Assert(again.Problem.Code, qt.Equals, verdict.KeyOutcomeUnknown)
 		c.Assert(again.Problem.Verdict, qt.Equals, "may_have_run")
-		c.Assert(cl.world.Starts(`"by ticket"`), qt.HasLen, 1)
+		c.Assert(cl.world.StartTimes(`"by ticket"`), qt.HasLen, 1)
 	})
 }
 
@@ -211,7 +211,7 @@
 	inCluster(t, 3, func(c *qt.C, cl *cluster) {
 		time.Sleep(20 * time.Second)
 		n := cl.node(0)
-		n.gate.SetCut(true)
+		n.gate.SetDisconnected(true)
 		time.Sleep(2 * time.Minute)
 		ready, _ := n.Ready()
 		c.Assert(ready, qt.IsTrue, qt.Commentf("its peers answer"))
@@ -222,7 +222,7 @@
 		c.Assert(reason, qt.Contains, "cut off")
 		other, _ := cl.node(1).Ready()
 		c.Assert(other, qt.IsTrue)
-		n.gate.SetCut(false)
+		n.gate.SetDisconnected(false)
 		cl.partition()
 		time.Sleep(2 * time.Minute)
 		ready, _ = n.Ready()
--- a/internal/node/oracle_test.go
+++ b/internal/node/oracle_test.go
@@ -163,9 +163,9 @@
 	case "freeze":
 		r.freeze(s)
 	case "cut-platform":
-		r.node(s.node).gate.SetCut(true)
+		r.node(s.node).gate.SetDisconnected(true)
 		n := r.node(s.node)
-		time.AfterFunc(s.span, func() { n.gate.SetCut(n.dead.Load()) })
+		time.AfterFunc(s.span, func() { n.gate.SetDisconnected(n.dead.Load()) })
 	case "cut-nodes":
 		ip := r.node(s.node).ip
 		r.partition(func(from, to string) bool {
@@ -185,8 +185,8 @@
 	n.gate.Freeze()
 	r.net.Freeze(n.ip)
 	time.AfterFunc(s.span, func() {
-		n.gate.Thaw()
-		r.net.Thaw(n.ip)
+		n.gate.Unfreeze()
+		r.net.Unfreeze(n.ip)
 	})
 }
 
@@ -308,7 +308,7 @@
 			r.checkAnswer(t, bad)
 			continue
 		}
-		starts := r.world.Starts(mustJSON(t.input))
+		starts := r.world.StartTimes(mustJSON(t.input))
 		if len(starts) > 1 {
 			bad(t, "ran %d times", len(starts))
 		}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -73,10 +73,10 @@
 	}
 	p.client = peer.NewClient(dial, n.env.PeerKey, self.Name, nil)
 	h := peer.Handler{
-		Books:    localLedger{n},
-		Changes:  func(after int64) []catalog.Change { return n.follower.Since(after) },
-		Snapshot: func() (int64, []catalog.Item) { c := n.board.Catalog.Get(); return c.Revision, c.Items() },
-		Demand:   func() []scheduler.ModelDemand { return n.sched.ModelDemand() },
+		Registries: localLedger{n},
+		Changes:    func(after int64) []catalog.Change { return n.follower.Since(after) },
+		Snapshot:   func() (int64, []catalog.Item) { c := n.board.Catalog.Get(); return c.Revision, c.Items() },
+		Demand:     func() []scheduler.ModelDemand { return n.sched.ModelDemand() },
 	}
 	p.server = peer.NewServer(ln, n.env.PeerKey, self.Name, h, n.log)
 	n.peers = p
@@ -157,7 +157,7 @@
 		defer cancel()
 		if err := p.fetch(ctx, addr, revision); err != nil {
 			p.n.log.Debug("configuration not fetched from peer", "addr", addr, "revision", revision, "err", err)
-			p.n.follower.Poke()
+			p.n.follower.PollNow()
 		}
 	}()
 }
@@ -183,7 +183,7 @@
 	if err != nil {
 		return err
 	}
-	p.n.follower.Adopt(rev, items)
+	p.n.follower.ApplySnapshot(rev, items)
 	return nil
 }
 
--- a/internal/node/pollers.go
+++ b/internal/node/pollers.go
@@ -161,13 +161,13 @@
 // failure the last report stays in use: the health of a target is determined from
 // its calls, not from its load reports.
 func (p *loadPoller) report(ctx context.Context, client *http.Client, t scheduler.TargetRef) {
-	sent := p.n.sched.Sent(t.Pool, t.ID)
+	sent := p.n.sched.InFlight(t.Pool, t.ID)
 	calls, err := fetchLoad(ctx, client, t.Addr)
 	if err != nil {
 		p.n.log.Debug("load report failed", "target", t.ID, "err", err)
 		return
 	}
-	p.n.sched.Report(t.Pool, t.ID, calls, sent)
+	p.n.sched.RecordLoad(t.Pool, t.ID, calls, sent)
 }
 
 // fetchLoad returns the number of calls that run or wait at the target.
--- a/internal/node/provision.go
+++ b/internal/node/provision.go
@@ -19,9 +19,9 @@
 
 func (n *Node) provisionLedger() {
 	incarnation := n.env.NewID()
-	tickets := ledger.NewTickets(n.env.PeerKey, n.s.Node.Name, n.peers.server.Addr(), incarnation, n.s.Ledger.TicketLife.Std(), n.env.NewID)
-	n.table = ledger.NewTableBook(n.env.Store, n.s.Ledger.CommitInterval.Std(), n.log)
-	n.ledger = ledger.NewRouter(n.s.Node.Name, tickets, ledger.NewTicketBook(tickets), n.table, n.peers)
+	tickets := ledger.NewTicketIssuer(n.env.PeerKey, n.s.Node.Name, n.peers.server.Addr(), incarnation, n.s.Ledger.TicketLife.Std(), n.env.NewID)
+	n.table = ledger.NewTableRegistry(n.env.Store, n.s.Ledger.CommitInterval.Std(), n.log)
+	n.ledger = ledger.NewRouter(n.s.Node.Name, tickets, ledger.NewTicketRegistry(tickets), n.table, n.peers)
 }
 
 func (n *Node) provisionFront() {
@@ -98,7 +98,7 @@
 		{"topazmoor_nodes_live", "Nodes that answer, this one included.", func() float64 { return float64(n.peers.nodes()) }},
 		{"topazmoor_membership_bytes_total", "Bytes of membership datagrams sent and received.", n.peers.membershipBytes},
 		{"topazmoor_batches_running", "Batches that this node runs.", func() float64 { return float64(n.batches.Running()) }},
-		{"topazmoor_host_list_age_seconds", "Age of the host list in use.", func() float64 { return time.Since(n.hosts.LastHeard()).Seconds() }},
+		{"topazmoor_host_list_age_seconds", "Age of the host list in use.", func() float64 { return time.Since(n.hosts.LastAnswer()).Seconds() }},
 	} {
 		n.metrics.Gauge(g.name, g.help, g.read)
 	}
--- a/internal/passthrough/attempt.go
+++ b/internal/passthrough/attempt.go
@@ -19,7 +19,7 @@
 	lease *targets.Lease
 	n     sendInfo
 	ans   *httpconn.Answer
-	info  Told
+	info  ResponseMeta
 	start time.Time
 }
 
@@ -72,14 +72,14 @@
 		Header: c.s.cfg.Wire.ToTarget(c.r.Header, o), Body: c.body,
 		// The target may announce that it is leaving, or pauses, between its selection and the first
 		// byte, also while a connection is opened.
-		Fresh: n.fresh, May: l.MaySend,
+		NewConn: n.fresh, ShouldSend: l.MaySend,
 	})
 	if err != nil {
 		return nil, c.noAnswer(ctx, l, n, a.start, err)
 	}
 	a.ans, a.info = ans, c.s.cfg.Wire.FromTarget(ans.Status, ans.Header)
 	if a.info.Load != nil {
-		l.Told(*a.info.Load)
+		l.RecordLoad(*a.info.Load)
 	}
 	c.applyNotice(a)
 	if a.info.Moved && c.meta.VersionBound {
@@ -99,15 +99,15 @@
 func (c *call) applyNotice(a *attempt) {
 	// Other statuses concern the request, not the target.
 	busy := a.ans.Status == http.StatusServiceUnavailable || a.ans.Status == http.StatusTooManyRequests
-	switch a.lease.Heard(a.info.Notice, busy && a.info.NotRun) {
-	case readiness.BeganToLeave:
+	switch a.lease.UpdateReadiness(a.info.Notice, busy && a.info.NotRun) {
+	case readiness.StartedLeaving:
 		c.log.Info("target announced that it is leaving", "target", a.lease.ID, "addr", a.lease.Addr, "service", c.service, "status", a.ans.Status)
-	case readiness.BeganToRest:
+	case readiness.StartedResting:
 		c.log.Info("target announced a pause", "target", a.lease.ID, "addr", a.lease.Addr, "service", c.service, "status", a.ans.Status,
 			"rest_ms", a.info.Notice.Rest.Milliseconds())
 	case readiness.Unchanged:
 	}
-	a.lease.HeardLimit(a.info.Limit)
+	a.lease.UpdateLimit(a.info.Limit)
 }
 
 // staleWithin is how soon a kept-alive connection fails if the target had already closed it:
@@ -131,7 +131,7 @@
 	c.log.Info("no answer from target", "target", l.ID, "addr", l.Addr, "digest", c.digest, "sent", sent, "stale", stale,
 		"ran_ms", time.Since(start).Milliseconds(), "err", err)
 	if !sent {
-		l.Unsent()
+		l.ReturnPermit()
 	}
 	if sent && !stale {
 		c.reportInterrupted(l, n, start, ctx.Err() != nil)
--- a/internal/passthrough/comeback.go
+++ b/internal/passthrough/comeback.go
@@ -32,5 +32,5 @@
 
 // retryAfterUnready returns the retry delay for this request.
 func (c *call) retryAfterUnready() time.Duration {
-	return retryAfterUnready(c.meta.Patience, c.s.cfg.StoreAway())
+	return retryAfterUnready(c.meta.CallerTimeout, c.s.cfg.StoreUnreachable())
 }
--- a/internal/passthrough/engine.go
+++ b/internal/passthrough/engine.go
@@ -35,7 +35,7 @@
 // them.
 func (c *call) addResultBytes(byDataCentre map[string]int64, in *inputs, stage int) {
 	for _, h := range in.get(stage).Handles {
-		byDataCentre[c.s.cfg.Targets.DataCentreOf(c.s.cfg.Wire.Maker(h))] += c.route.Stages[stage].ResultBytes
+		byDataCentre[c.s.cfg.Targets.DataCentreOf(c.s.cfg.Wire.HolderAddr(h))] += c.route.Stages[stage].ResultBytes
 	}
 }
 
@@ -49,9 +49,9 @@
 	if c.meta.Prompt != nil {
 		q.Tokens = c.meta.Prompt.Tokens
 	}
-	q.Inputs = make(map[string]int64)
+	q.InputBytes = make(map[string]int64)
 	for i := range in.results {
-		c.addResultBytes(q.Inputs, in, i)
+		c.addResultBytes(q.InputBytes, in, i)
 	}
 	return q
 }
@@ -79,5 +79,5 @@
 	if c.route.Stages[stage].ResultBytes < largeResultBytes || shared < minAffinityTokens {
 		return ""
 	}
-	return c.s.cfg.Targets.Home(c.service, hash, shared, c.regions())
+	return c.s.cfg.Targets.PreferredDataCentre(c.service, hash, shared, c.regions())
 }
--- a/internal/passthrough/permit.go
+++ b/internal/passthrough/permit.go
@@ -21,7 +21,7 @@
 // pickTarget selects a target and waits for the permit to call it. It returns nil if there is
 // none.
 func (c *call) pickTarget(q targets.Query) *targets.Lease {
-	q.Latest = c.permitDeadline()
+	q.PermitDeadline = c.permitDeadline()
 	for range maxPicks {
 		l := c.s.cfg.Targets.Pick(q)
 		if l == nil {
--- a/internal/passthrough/plain.go
+++ b/internal/passthrough/plain.go
@@ -82,7 +82,7 @@
 		case allowed := <-hedges:
 			if allowed && c.mayHedge() && c.mayRunAgain() {
 				c.s.cfg.Observer.Repeated(c.service, "hedge")
-				x.start(targets.Query{Unbounded: true})
+				x.start(targets.Query{SkipRateBounded: true})
 			}
 		case r := <-x.results:
 			if x.handleResult(r) {
@@ -176,7 +176,7 @@
 		return result{f: &failure{ran: true, err: err}}
 	}
 	if a.ans.Status >= http.StatusInternalServerError {
-		l.Faulty()
+		l.MarkFaulty()
 	}
 	l.Done(targets.Served, time.Since(a.start))
 	c.reportAnswered()
@@ -203,7 +203,7 @@
 		c.recordDone("canceled", 0, nil)
 		panic(http.ErrAbortHandler)
 	}
-	c.s.cfg.Observer.Began(c.rank, c.estimated, time.Since(c.arrived), c.route.Objective)
+	c.s.cfg.Observer.ResponseBegan(c.rank, c.estimated, time.Since(c.arrived), c.route.Objective)
 	c.writeHead(w.a, w)
 	_, err := c.w.Write(w.start)
 	if err == nil && !w.complete {
--- a/internal/passthrough/quarantine.go
+++ b/internal/passthrough/quarantine.go
@@ -32,7 +32,7 @@
 	probe := c.claimedProbe
 	c.claimedProbe = ""
 	n := sendInfo{number: c.sends + 1, chosen: time.Now(), fresh: c.stale > 0 || c.s.cfg.Guard.Suspect(c.digest), probe: probe}
-	q.Service, q.Route, q.Regions, q.Exclude, q.Alone, q.Again = c.service, c.route.Name, c.regions(), c.tried, probe != "", c.sends > 0
+	q.Service, q.Route, q.Regions, q.Exclude, q.LeastBusy, q.Resent = c.service, c.route.Name, c.regions(), c.tried, probe != "", c.sends > 0
 	l := c.pickTarget(q)
 	if l == nil {
 		c.reportAbandoned(n)
--- a/internal/passthrough/rest.go
+++ b/internal/passthrough/rest.go
@@ -15,7 +15,7 @@
 // timeUntilCallable returns how long all targets of the service pause; 0 if one may be called
 // now, or none is known.
 func (c *call) timeUntilCallable() time.Duration {
-	at, ok := c.s.cfg.Targets.Opens(c.service, c.regions())
+	at, ok := c.s.cfg.Targets.AvailableAt(c.service, c.regions())
 	if !ok || at.IsZero() {
 		return 0
 	}
--- a/internal/passthrough/server.go
+++ b/internal/passthrough/server.go
@@ -28,9 +28,9 @@
 	Produce(ctx context.Context, o stagebatch.Order) (stagebatch.Result, error)
 	Estimate(service string, w stagebatch.Work) time.Duration
 	Free(service string, res stagebatch.Result)
-	// FreeIfTight frees results that were read, but whose reader has not ended, if the target that
+	// FreeIfNearlyFull frees results that were read, but whose reader has not ended, if the target that
 	// holds them is short of memory.
-	FreeIfTight(service string, res stagebatch.Result)
+	FreeIfNearlyFull(service string, res stagebatch.Result)
 }
 
 // Guard keeps requests that crash targets away from the targets; *poison.Guard in production.
@@ -62,9 +62,9 @@
 	RequestDone(d Done)
 	// StageDone reports the end of one stage of a request at a pool.
 	StageDone(service string, outcome StageOutcome, took time.Duration)
-	// Began reports that the response of an admitted request began, with the estimated and the
+	// ResponseBegan reports that the response of an admitted request began, with the estimated and the
 	// actual time until then and the objective.
-	Began(rank int, estimated, took, objective time.Duration)
+	ResponseBegan(rank int, estimated, took, objective time.Duration)
 	Repeated(service, why string)
 }
 
@@ -94,11 +94,11 @@
 type Config struct {
 	// Routes returns the configuration in force, or nil before the first one.
 	Routes func() *routes.Config
-	// StoreAway reports whether the store does not answer the node.
-	StoreAway func() bool
-	// Slept returns how long the host has been suspended in total; Go's monotonic clock does not
+	// StoreUnreachable reports whether the store does not answer the node.
+	StoreUnreachable func() bool
+	// SuspendedTime returns how long the host has been suspended in total; Go's monotonic clock does not
 	// count that time.
-	Slept func() time.Duration
+	SuspendedTime func() time.Duration
 	// Trusted reports whether the node's data is recent enough to act on. After a suspension of
 	// the host it is not, until the store has answered again.
 	Trusted func() bool
@@ -151,8 +151,8 @@
 // connections after their responses.
 func (s *Server) Stop(endsAt time.Time) { s.endsAt.Store(endsAt.UnixNano()) }
 
-// Cut cancels all requests in progress.
-func (s *Server) Cut() { s.abort(errStopping) }
+// Abort cancels all requests in progress.
+func (s *Server) Abort() { s.abort(errStopping) }
 
 var errStopping = errors.New("passthrough: the process ends")
 
@@ -213,7 +213,7 @@
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
 	trusted := s.cfg.Trusted()
-	c := &call{s: s, w: w, r: r, arrived: time.Now(), suspendedBefore: s.cfg.Slept(), cfg: s.cfg.Routes()}
+	c := &call{s: s, w: w, r: r, arrived: time.Now(), suspendedBefore: s.cfg.SuspendedTime(), cfg: s.cfg.Routes()}
 	if !s.stopping().IsZero() {
 		w.Header().Set("Connection", "close")
 	}
@@ -243,7 +243,7 @@
 	meta, metaErr := c.s.cfg.Wire.ReadMeta(c.r.Header)
 	c.meta = meta
 	c.log = c.s.cfg.Log.With("request", meta.ID)
-	if c.cfg == nil || !c.s.cfg.Targets.Seen() {
+	if c.cfg == nil || !c.s.cfg.Targets.ListReceived() {
 		return notRun(verdict.NotReady, "the node has no configuration yet").After(c.retryAfterUnready())
 	}
 	if !trusted {
@@ -302,8 +302,8 @@
 // is shorter.
 func (c *call) timeout() time.Duration {
 	p := c.route.Timeout
-	if c.meta.Patience > 0 && (p <= 0 || c.meta.Patience < p) {
-		p = c.meta.Patience
+	if c.meta.CallerTimeout > 0 && (p <= 0 || c.meta.CallerTimeout < p) {
+		p = c.meta.CallerTimeout
 	}
 	if p <= 0 {
 		p = defaultTimeout
--- a/internal/passthrough/stages.go
+++ b/internal/passthrough/stages.go
@@ -250,7 +250,7 @@
 	}
 	for _, dep := range c.route.Stages[i].After {
 		if readers[dep].Load() == 1 {
-			c.s.cfg.Stages.FreeIfTight(c.route.Stages[dep].Service, in.get(dep))
+			c.s.cfg.Stages.FreeIfNearlyFull(c.route.Stages[dep].Service, in.get(dep))
 		}
 	}
 }
--- a/internal/passthrough/stream.go
+++ b/internal/passthrough/stream.go
@@ -162,7 +162,7 @@
 		return &failure{ran: true, err: err}
 	}
 	if a.ans.Status >= http.StatusInternalServerError {
-		a.lease.Faulty()
+		a.lease.MarkFaulty()
 	}
 	a.lease.Done(targets.Served, 0)
 	x.c.reportAnswered()
@@ -202,9 +202,9 @@
 		}
 		if first {
 			first = false
-			a.lease.PromptRead()
-			a.lease.FirstEvent(time.Since(a.start))
-			c.s.cfg.Observer.Began(c.rank, c.estimated, time.Since(c.arrived), c.route.Objective)
+			a.lease.MarkPromptRead()
+			a.lease.RecordFirstEvent(time.Since(a.start))
+			c.s.cfg.Observer.ResponseBegan(c.rank, c.estimated, time.Since(c.arrived), c.route.Objective)
 			x.freeInputs()
 		}
 		if mayResume {
--- a/internal/passthrough/suspended.go
+++ b/internal/passthrough/suspended.go
@@ -8,7 +8,7 @@
 // timeLeft returns the time until the deadline, less the time for which the host was suspended
 // since the request arrived: the caller's clock kept running.
 func (c *call) timeLeft() time.Duration {
-	return time.Until(c.deadline) - (c.s.cfg.Slept() - c.suspendedBefore)
+	return time.Until(c.deadline) - (c.s.cfg.SuspendedTime() - c.suspendedBefore)
 }
 
 // register adds a request in progress with its cancel function.
@@ -24,10 +24,10 @@
 	delete(s.calls, c)
 }
 
-// Woke is called after the host was suspended for gap. Requests whose deadline has passed end
+// HostResumed is called after the host was suspended for gap. Requests whose deadline has passed end
 // now, the others at their deadline: the timers of their contexts run on a clock that stopped
 // meanwhile.
-func (s *Server) Woke(gap time.Duration) {
+func (s *Server) HostResumed(gap time.Duration) {
 	if n := s.endsAt.Load(); n != 0 {
 		s.endsAt.Store(n - int64(gap))
 	}
--- a/internal/passthrough/wire.go
+++ b/internal/passthrough/wire.go
@@ -19,8 +19,8 @@
 type Meta struct {
 	// ID is the request's ID; each attempt of a caller has its own.
 	ID string
-	// Patience is how long the caller waits; 0 for unknown.
-	Patience time.Duration
+	// CallerTimeout is how long the caller waits; 0 for unknown.
+	CallerTimeout time.Duration
 	// Credential identifies the client account; "" for none.
 	Credential string
 	// Prompt is set for requests to model engines.
@@ -65,8 +65,8 @@
 	CopyFrom string
 }
 
-// Told holds what the headers of a target say about its response and itself.
-type Told struct {
+// ResponseMeta holds what the headers of a target say about its response and itself.
+type ResponseMeta struct {
 	// NotRun reports that the target did not run the request.
 	NotRun bool
 	// Moved reports that another process has the address.
@@ -80,7 +80,7 @@
 	// Notice is the target's announcement of whether it accepts requests.
 	Notice readiness.Notice
 	// Limit is the rate of requests that the target advertises as its limit.
-	Limit sharedrate.Word
+	Limit sharedrate.AdvertisedLimit
 }
 
 // Wire translates between HTTP headers and the types above; package platform implements it.
@@ -91,11 +91,11 @@
 	// single connection and the credential, and those of the node.
 	ToTarget(in http.Header, o Outgoing) http.Header
 	// FromTarget reads the headers of a target's response.
-	FromTarget(status int, h http.Header) Told
+	FromTarget(status int, h http.Header) ResponseMeta
 	// ToCaller returns the headers of a response that are sent to the caller.
 	ToCaller(h http.Header) http.Header
-	// Maker returns the address (IP:port) of the target that holds a stage result.
-	Maker(handle string) string
+	// HolderAddr returns the address (IP:port) of the target that holds a stage result.
+	HolderAddr(handle string) string
 	// SetRetryAfter sets the retry delay in the headers of a refusal.
 	SetRetryAfter(h http.Header, after time.Duration)
 }
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -211,15 +211,15 @@
 	return demandFrom(resp.GetDemand()), nil
 }
 
-// Book returns a ledger.Book that calls the node at addr.
-func (c *Client) Book(addr string) ledger.Book { return remoteLedger{c: c, addr: addr} }
+// Registry returns a ledger.Registry that calls the node at addr.
+func (c *Client) Registry(addr string) ledger.Registry { return remoteLedger{c: c, addr: addr} }
 
 type remoteLedger struct {
 	c    *Client
 	addr string
 }
 
-// Claim implements ledger.Book. A caller may send a claim again if its answer was
+// Claim implements ledger.Registry. A caller may send a claim again if its answer was
 // lost: the same attempt is granted again.
 func (b remoteLedger) Claim(ctx context.Context, cl ledger.Claim) (ledger.Grant, error) {
 	resp, err := b.c.call(ctx, b.addr, &peerpb.Request{Call: &peerpb.Request_Claim{Claim: claimTo(cl)}})
@@ -229,14 +229,14 @@
 	return grantFrom(resp.GetGrant()), nil
 }
 
-// Finish implements ledger.Book.
+// Finish implements ledger.Registry.
 func (b remoteLedger) Finish(ctx context.Context, cl ledger.Claim, out *ledger.Outcome) error {
 	msg := &peerpb.Finish{Claim: claimTo(cl), Outcome: outcomeTo(out)}
 	_, err := b.c.call(ctx, b.addr, &peerpb.Request{Call: &peerpb.Request_Finish{Finish: msg}})
 	return err
 }
 
-// Lookup implements ledger.Book.
+// Lookup implements ledger.Registry.
 func (b remoteLedger) Lookup(ctx context.Context, k ledger.Key) (ledger.Record, bool, error) {
 	resp, err := b.c.call(ctx, b.addr, &peerpb.Request{Call: &peerpb.Request_Lookup{Lookup: keyTo(k)}})
 	if err != nil {
--- a/internal/peer/ends.go
+++ b/internal/peer/ends.go
@@ -10,12 +10,12 @@
 // Ends receives records of target processes that ended while they ran a request, from nodes
 // that could not write them to the store. *poison.Guard implements it in production.
 type Ends interface {
-	Hear(ends []poison.End)
+	ReceiveEnds(ends []poison.End)
 }
 
-// TellEnds sends records of target processes that ended while they ran a request to the node
+// SendEnds sends records of target processes that ended while they ran a request to the node
 // at addr.
-func (c *Client) TellEnds(ctx context.Context, addr string, ends []poison.End) error {
+func (c *Client) SendEnds(ctx context.Context, addr string, ends []poison.End) error {
 	msg := &peerpb.Ends{}
 	for _, e := range ends {
 		msg.End = append(msg.End, &peerpb.Ends_End{Digest: e.Digest[:], Process: e.Process, Probe: e.Probe})
@@ -31,7 +31,7 @@
 		ends = append(ends, poison.End{Digest: digestFrom(e.Digest), Process: e.Process, Probe: e.Probe})
 	}
 	if s.h.Ends != nil {
-		s.h.Ends.Hear(ends)
+		s.h.Ends.ReceiveEnds(ends)
 	}
 	return &peerpb.Response{Result: &peerpb.Response_Done{Done: &peerpb.Empty{}}}
 }
--- a/internal/peer/follow.go
+++ b/internal/peer/follow.go
@@ -18,8 +18,8 @@
 	"topazmoor/internal/watch"
 )
 
-// Teller sends updates of store tables to the nodes that follow this node; see relay.Teller.
-type Teller interface {
+// Publisher sends updates of store tables to the nodes that follow this node; see relay.Publisher.
+type Publisher interface {
 	Follow(ctx context.Context, have []relay.Have, send func(relay.Told) error) error
 }
 
@@ -70,7 +70,7 @@
 
 // follow sends updates to a follower until it closes its stream, a write fails or this node stops.
 func (s *Server) follow(ctx context.Context, st *stream, m *peerpb.Follow) error {
-	if s.h.Teller == nil {
+	if s.h.Publisher == nil {
 		return verdict.New(verdict.NotRun, verdict.Internal, "this node tells nothing of the store")
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -81,7 +81,7 @@
 	for _, h := range m.Have {
 		have = append(have, relay.Have{Table: h.Table, Version: store.Version{Era: h.Era, Number: h.Version}})
 	}
-	return s.h.Teller.Follow(ctx, have, func(t relay.Told) error {
+	return s.h.Publisher.Follow(ctx, have, func(t relay.Told) error {
 		msg, err := s.packer.statusTo(t)
 		if err != nil {
 			return err
@@ -112,7 +112,7 @@
 const packedTables = 3
 
 func (p *packer) statusTo(t relay.Told) (*peerpb.Told, error) {
-	out := &peerpb.Told{Away: t.Away, AgeMs: t.Age.Milliseconds()}
+	out := &peerpb.Told{Away: t.Away, AgeMs: t.AnswerAge.Milliseconds()}
 	for _, table := range t.Tables {
 		m := &peerpb.TableTold{Era: table.Position.Version.Era, Version: table.Position.Version.Number, Sum: table.Position.Sum}
 		if table.News != nil {
@@ -176,9 +176,9 @@
 	if m == nil || len(m.Table) != len(tables) {
 		return relay.Told{}, eris.New("message from peer has the wrong number of tables")
 	}
-	out := relay.Told{Away: m.Away, Age: time.Duration(m.AgeMs) * time.Millisecond}
+	out := relay.Told{Away: m.Away, AnswerAge: time.Duration(m.AgeMs) * time.Millisecond}
 	for i, table := range m.Table {
-		status := relay.TableTold{Position: watch.Position{Version: store.Version{Era: table.Era, Number: table.Version}, Sum: table.Sum}}
+		status := relay.TableMessage{Position: watch.Position{Version: store.Version{Era: table.Era, Number: table.Version}, Sum: table.Sum}}
 		if table.News != nil {
 			update, err := tableUpdateFrom(table.News, tables[i])
 			if err != nil {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -36,9 +36,9 @@
 		t.Fatal(err)
 	}
 	h := Handler{
-		Books:    fakeBook{},
-		Changes:  func(after int64) []catalog.Change { return []catalog.Change{{Revision: after + 1, By: "op"}} },
-		Snapshot: func() (int64, []catalog.Item) { return 9, []catalog.Item{{Kind: catalog.DrainItem, Name: "h"}} },
+		Registries: fakeBook{},
+		Changes:    func(after int64) []catalog.Change { return []catalog.Change{{Revision: after + 1, By: "op"}} },
+		Snapshot:   func() (int64, []catalog.Item) { return 9, []catalog.Item{{Kind: catalog.DrainItem, Name: "h"}} },
 	}
 	s := NewServer(ln, []byte(key), "server", h, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ctx, cancel := context.WithCancel(context.Background())
@@ -56,10 +56,10 @@
 	addr := startServer(t, "key")
 	cl := NewClient((&net.Dialer{}).DialContext, []byte("key"), "client", nil)
 	defer cl.Close()
-	_, err := cl.Book(addr).Claim(t.Context(), ledger.Claim{})
+	_, err := cl.Registry(addr).Claim(t.Context(), ledger.Claim{})
 	c.Assert(verdict.CodeOf(err), qt.Equals, verdict.KeyOutcomeUnknown)
 	c.Assert(verdict.Of(err), qt.Equals, verdict.MayHaveRun)
-	rec, found, err := cl.Book(addr).Lookup(t.Context(), ledger.Key{Account: "a", Key: "k"})
+	rec, found, err := cl.Registry(addr).Lookup(t.Context(), ledger.Key{Account: "a", Key: "k"})
 	c.Assert(err, qt.IsNil)
 	c.Assert(found, qt.IsTrue)
 	c.Assert(rec.Key, qt.Equals, ledger.Key{Account: "a", Key: "k"})
--- a/internal/peer/pending_test.go
+++ b/internal/peer/pending_test.go
@@ -46,7 +46,7 @@
 	}
 	calls := map[string]func(ctx context.Context, c *Client) error{
 		"permits": func(ctx context.Context, c *Client) error {
-			_, err := c.AskPermits(ctx, "b", sharedrate.Ask{})
+			_, err := c.AskPermits(ctx, "b", sharedrate.PermitRequest{})
 			return err
 		},
 		"order": func(ctx context.Context, c *Client) error {
--- a/internal/peer/permits.go
+++ b/internal/peer/permits.go
@@ -12,11 +12,11 @@
 // Permits grants permits of rate limits that nodes share. *sharedrate.Limiter implements it in
 // production.
 type Permits interface {
-	Grant(a sharedrate.Ask) sharedrate.Grant
+	Grant(a sharedrate.PermitRequest) sharedrate.Grant
 }
 
 // AskPermits requests permits of a rate limit from the node at addr.
-func (c *Client) AskPermits(ctx context.Context, addr string, a sharedrate.Ask) (sharedrate.Grant, error) {
+func (c *Client) AskPermits(ctx context.Context, addr string, a sharedrate.PermitRequest) (sharedrate.Grant, error) {
 	msg := &peerpb.PermitAsk{
 		Key: a.Key, Asker: a.Asker, PerSecond: a.PerSecond, HeardUs: a.Heard.Microseconds(), Ended: a.Ended,
 		Want: uint32(a.Want), WithinUs: a.Within.Microseconds(),
@@ -27,7 +27,7 @@
 	}
 	g := resp.GetPermits()
 	return sharedrate.Grant{
-		Permits: int(g.GetPermits()), In: micros(g.GetInUs()), Spacing: micros(g.GetSpacingUs()), Opens: micros(g.GetOpensUs()),
+		Permits: int(g.GetPermits()), FirstIn: micros(g.GetInUs()), Spacing: micros(g.GetSpacingUs()), RetryAfter: micros(g.GetOpensUs()),
 		Ended: g.GetEnded(), Heard: micros(g.GetHeardUs()),
 	}, nil
 }
@@ -37,12 +37,12 @@
 	if s.h.Permits == nil {
 		return nil, verdict.New(verdict.NotRun, verdict.Internal, "this node grants no permits")
 	}
-	g := s.h.Permits.Grant(sharedrate.Ask{
+	g := s.h.Permits.Grant(sharedrate.PermitRequest{
 		Key: m.GetKey(), Asker: m.GetAsker(), PerSecond: m.GetPerSecond(), Heard: micros(m.GetHeardUs()), Ended: m.GetEnded(),
 		Want: int(m.GetWant()), Within: micros(m.GetWithinUs()),
 	})
 	return &peerpb.Response{Result: &peerpb.Response_Permits{Permits: &peerpb.PermitGrant{
-		Permits: uint32(g.Permits), InUs: g.In.Microseconds(), SpacingUs: g.Spacing.Microseconds(), OpensUs: g.Opens.Microseconds(),
+		Permits: uint32(g.Permits), InUs: g.FirstIn.Microseconds(), SpacingUs: g.Spacing.Microseconds(), OpensUs: g.RetryAfter.Microseconds(),
 		Ended: g.Ended, HeardUs: g.Heard.Microseconds(),
 	}}}, nil
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -34,9 +34,9 @@
 	// Nodes returns the number of known nodes. If it is nil, the connection limit is
 	// minSessionLimit.
 	Nodes func() int
-	// Books is the ledger of this node. If it is nil, the server refuses the calls for
+	// Registries is the ledger of this node. If it is nil, the server refuses the calls for
 	// claims, changes, snapshots and demand.
-	Books ledger.Book
+	Registries ledger.Registry
 	// Changes returns the accepted changes after a revision, or nil if this node no
 	// longer has all of them.
 	Changes func(after int64) []catalog.Change
@@ -46,8 +46,8 @@
 	Demand func() []scheduler.ModelDemand
 	// Stages handles orders for stage results. If it is nil, orders are refused.
 	Stages Stages
-	// Teller sends updates to nodes that follow this one. If it is nil, Follow is refused.
-	Teller Teller
+	// Publisher sends updates to nodes that follow this one. If it is nil, Follow is refused.
+	Publisher Publisher
 	// Ends receives ends of target processes that other nodes could not write to the store.
 	// If it is nil, they are dropped.
 	Ends Ends
@@ -213,24 +213,24 @@
 		if s.h.Stages != nil {
 			free := s.h.Stages.Free
 			if call.Free.GetIfTight() {
-				free = s.h.Stages.FreeIfTight
+				free = s.h.Stages.FreeIfNearlyFull
 			}
 			free(call.Free.GetService(), call.Free.GetHandle())
 		}
 		return &peerpb.Response{Result: &peerpb.Response_Done{Done: &peerpb.Empty{}}}, nil
 	}
-	if s.h.Books == nil {
+	if s.h.Registries == nil {
 		return nil, verdict.New(verdict.NotRun, verdict.Internal, "this node keeps no books")
 	}
 	switch call := req.Call.(type) {
 	case *peerpb.Request_Claim:
-		g, err := s.h.Books.Claim(ctx, claimFrom(call.Claim))
+		g, err := s.h.Registries.Claim(ctx, claimFrom(call.Claim))
 		return &peerpb.Response{Result: &peerpb.Response_Grant{Grant: grantTo(g)}}, err
 	case *peerpb.Request_Finish:
-		err := s.h.Books.Finish(ctx, claimFrom(call.Finish.GetClaim()), outcomeFrom(call.Finish.Outcome))
+		err := s.h.Registries.Finish(ctx, claimFrom(call.Finish.GetClaim()), outcomeFrom(call.Finish.Outcome))
 		return &peerpb.Response{Result: &peerpb.Response_Done{Done: &peerpb.Empty{}}}, err
 	case *peerpb.Request_Lookup:
-		rec, found, err := s.h.Books.Lookup(ctx, keyFrom(call.Lookup))
+		rec, found, err := s.h.Registries.Lookup(ctx, keyFrom(call.Lookup))
 		return &peerpb.Response{Result: &peerpb.Response_Found{Found: foundTo(rec, found)}}, err
 	case *peerpb.Request_Changes:
 		return changesTo(s.h.Changes(call.Changes.Revision))
--- a/internal/peer/stages.go
+++ b/internal/peer/stages.go
@@ -23,24 +23,24 @@
 	Waits(service string) stagebatch.Waits
 	// Free releases results.
 	Free(service string, handles []string)
-	// FreeIfTight releases results that were read, where free memory is low.
-	FreeIfTight(service string, handles []string)
+	// FreeIfNearlyFull releases results that were read, where free memory is low.
+	FreeIfNearlyFull(service string, handles []string)
 }
 
 // Versions exchanges the configuration versions in force between nodes. They are sent
 // along with orders and their answers, so they need no messages of their own.
 type Versions interface {
-	// Mine returns the version in force at this node.
-	Mine() store.Version
-	// Heard receives the version in force at another node.
-	Heard(v store.Version)
+	// Current returns the version in force at this node.
+	Current() store.Version
+	// Observe receives the version in force at another node.
+	Observe(v store.Version)
 }
 
 // noVersions is the Versions of nodes that don't exchange configuration versions.
 type noVersions struct{}
 
-func (noVersions) Mine() store.Version { return store.Version{} }
-func (noVersions) Heard(store.Version) {}
+func (noVersions) Current() store.Version { return store.Version{} }
+func (noVersions) Observe(store.Version)  {}
 
 // orderErrors lists the errors of orders by their numbers on the wire; 0 is success.
 var orderErrors = []error{nil, stagebatch.ErrLate, stagebatch.ErrInputGone, stagebatch.ErrFailed, stagebatch.ErrNoTarget, stagebatch.ErrCrashed}
@@ -118,14 +118,14 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	msg := orderTo(o, time.Now())
-	current := c.versions.Mine()
+	current := c.versions.Current()
 	msg.ConfigEra, msg.ConfigVersion = current.Era, current.Number
 	x, err := c.request(ctx, addr, &peerpb.Request{Call: &peerpb.Request_Produce{Produce: msg}})
 	if err != nil {
 		return stagebatch.Result{}, err
 	}
 	defer func() {
-		if errors.Is(context.Cause(ctx), stagebatch.ErrSilent) {
+		if errors.Is(context.Cause(ctx), stagebatch.ErrNoMessage) {
 			x.retire()
 		}
 	}()
@@ -160,7 +160,7 @@
 			return resp, nil
 		}
 		accepted(waitsFrom(a))
-		c.versions.Heard(store.Version{Era: a.ConfigEra, Number: a.ConfigVersion})
+		c.versions.Observe(store.Version{Era: a.ConfigEra, Number: a.ConfigVersion})
 		if a.InputsRead {
 			inputsRead()
 		}
@@ -210,10 +210,10 @@
 		res, err := s.h.Stages.Produce(ctx, o, func(stagebatch.Waits) { accepted <- struct{}{} })
 		done <- produced{res, err}
 	}()
-	s.h.Versions.Heard(store.Version{Era: m.ConfigEra, Number: m.ConfigVersion})
+	s.h.Versions.Observe(store.Version{Era: m.ConfigEra, Number: m.ConfigVersion})
 	state := func() *peerpb.Accepted {
 		a := acceptedTo(s.h.Stages.Waits(m.Service))
-		current := s.h.Versions.Mine()
+		current := s.h.Versions.Current()
 		a.ConfigEra, a.ConfigVersion = current.Era, current.Number
 		return a
 	}
--- a/internal/peer/stages_test.go
+++ b/internal/peer/stages_test.go
@@ -42,7 +42,7 @@
 
 func (s *slowStages) Free(string, []string) {}
 
-func (s *slowStages) FreeIfTight(string, []string) {}
+func (s *slowStages) FreeIfNearlyFull(string, []string) {}
 
 // stageServer starts a server in the bubble and returns a client and its
 // address.
--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -95,7 +95,7 @@
 // estimated queueing and service times of all its stages. The error is a
 // *verdict.Error with NotRun.
 func (r *Runner) Admit(req *Request) error {
-	need, wait := r.sched.Remaining(stageDemands(req, 0), req.Class)
+	need, wait := r.sched.EstimateRemaining(stageDemands(req, 0), req.Class)
 	if time.Duration(admitShare*float64(need)) <= time.Until(req.Deadline) {
 		return nil
 	}
--- a/internal/pipeline/stage.go
+++ b/internal/pipeline/stage.go
@@ -83,7 +83,7 @@
 	if !time.Now().Before(s.r.latest(s.req, s.index)) {
 		return false
 	}
-	return s.r.sched.Retry(s.st.Pool)
+	return s.r.sched.TakeRetry(s.st.Pool)
 }
 
 // attempt is one call in flight.
@@ -264,7 +264,7 @@
 func release(l *scheduler.Lease, err error) {
 	o := outcomeOf(err)
 	if o == scheduler.Refused {
-		l.Heard(readiness.Notice{Rest: verdict.As(err).RetryAfter})
+		l.UpdateReadiness(readiness.Notice{Rest: verdict.As(err).RetryAfter})
 	}
 	l.Release(o)
 }
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -53,12 +53,12 @@
 	Store store.Tables
 	// Dial opens a connection to a target, to check whether its process still runs.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// Others returns the addresses of the other nodes. Tell sends ends that could not be written to
+	// OtherAddrs returns the addresses of the other nodes. Tell sends ends that could not be written to
 	// the store to one of them; nil disables this.
-	Others func() []string
-	Tell   func(ctx context.Context, addr string, ends []End) error
-	// Gone, if set, is called with each process that has ended.
-	Gone func(process string)
+	OtherAddrs func() []string
+	SendEndsTo func(ctx context.Context, addr string, ends []End) error
+	// OnProcessEnd, if set, is called with each process that has ended.
+	OnProcessEnd func(process string)
 	// Nodes returns the number of nodes, which share the removal of old rows.
 	Nodes func() int
 	Log   *slog.Logger
@@ -174,10 +174,10 @@
 	g.stored = next
 }
 
-// Mend writes again what a store that was restored from a copy has lost: records of quarantined
+// RewriteLost writes again what a store that was restored from a copy has lost: records of quarantined
 // requests, and the removal of records of requests that were answered.
-func (g *Guard) Mend(kept restore.Result) {
-	for _, key := range kept.Undone {
+func (g *Guard) RewriteLost(kept restore.Result) {
+	for _, key := range kept.Reappeared {
 		if d, err := ParseDigest(key); err == nil {
 			g.queue.push(op{kind: opAnswered, digest: d})
 		}
@@ -194,7 +194,7 @@
 			g.queue.push(op{kind: opRestore, digest: d, record: f.Record})
 		}
 	}
-	g.cfg.Log.Info("rewriting quarantines that the store lost", "lost", len(kept.Lost), "undone", len(kept.Undone))
+	g.cfg.Log.Info("rewriting quarantines that the store lost", "lost", len(kept.Lost), "undone", len(kept.Reappeared))
 }
 
 // lookup returns the record of a request as this node knows it.
@@ -279,8 +279,8 @@
 	Process, Addr string
 	// Probe names the probe that the run belongs to; empty if none. GoesOn reports that the probe
 	// has further runs unless this one ended its target, so that the probe is not given up.
-	Probe  string
-	GoesOn bool
+	Probe          string
+	ProbeContinues bool
 }
 
 // Ended reports that a run broke off at its target. It checks whether the target's process has
@@ -300,13 +300,13 @@
 // ended checks whether the target of a run has ended, and writes the end to the store.
 func (g *Guard) ended(r Run) bool {
 	if !g.endDetector.endedUnder(r.Process, r.Addr, r.Began) {
-		if !r.GoesOn {
+		if !r.ProbeContinues {
 			g.Abandoned(r.Digest, r.Probe)
 		}
 		return false
 	}
-	if g.cfg.Gone != nil {
-		g.cfg.Gone(r.Process)
+	if g.cfg.OnProcessEnd != nil {
+		g.cfg.OnProcessEnd(r.Process)
 	}
 	if !g.recordLocal(r) {
 		return true
--- a/internal/poison/guard_test.go
+++ b/internal/poison/guard_test.go
@@ -115,7 +115,7 @@
 	for i := range nodes {
 		p := &path{Store: f.store, watched: f.store}
 		g := New(Config{Node: fmt.Sprint("node-", i), Store: p, Dial: f.dial, Nodes: func() int { return nodes }, Log: slog.New(slog.DiscardHandler)})
-		table := &watch.Table{Name: QuarantineTable, From: p, Wait: watch.LongWait, Apply: (&restore.Table{Apply: g.Apply, Mend: g.Mend, Log: slog.New(slog.DiscardHandler)}).Take, Log: slog.New(slog.DiscardHandler)}
+		table := &watch.Table{Name: QuarantineTable, From: p, Wait: watch.LongWait, Apply: (&restore.Table{Apply: g.Apply, RewriteLost: g.RewriteLost, Log: slog.New(slog.DiscardHandler)}).Update, Log: slog.New(slog.DiscardHandler)}
 		wg.Go(func() { _ = g.Serve(ctx) })
 		wg.Go(func() { _ = table.Serve(ctx) })
 		f.paths = append(f.paths, p)
@@ -254,12 +254,12 @@
 		f.quarantine(digest("x"))
 		name, err := f.guards[0].Send(t.Context(), digest("x"), probeLasts)
 		c.Assert(err, qt.IsNil)
-		r := Run{Digest: digest("x"), Began: time.Now(), Process: "c@0", Addr: "c", Probe: name, GoesOn: true}
+		r := Run{Digest: digest("x"), Began: time.Now(), Process: "c@0", Addr: "c", Probe: name, ProbeContinues: true}
 		c.Assert(<-f.guards[0].Ended(r), qt.IsFalse)
 		time.Sleep(10 * time.Millisecond)
 		c.Assert(f.guards[1].Admit(digest("x")), qt.IsNotNil)
 		// The last run of the probe.
-		r.GoesOn = false
+		r.ProbeContinues = false
 		c.Assert(<-f.guards[0].Ended(r), qt.IsFalse)
 		time.Sleep(10 * time.Millisecond)
 		c.Assert(f.guards[1].Admit(digest("x")), qt.IsNil)
--- a/internal/poison/tell.go
+++ b/internal/poison/tell.go
@@ -27,17 +27,17 @@
 // shareEnds sends ends that could not be written to the store to other nodes. They may reach the
 // store, and if none does, they still take the ends into account.
 func (g *Guard) shareEnds(ctx context.Context, ends []End) {
-	if len(ends) == 0 || g.cfg.Tell == nil {
+	if len(ends) == 0 || g.cfg.SendEndsTo == nil {
 		return
 	}
-	others := append([]string(nil), g.cfg.Others()...)
+	others := append([]string(nil), g.cfg.OtherAddrs()...)
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	ctx, cancel := context.WithTimeout(ctx, shareTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
 	for _, addr := range others[:min(len(others), maxShareNodes)] {
 		wg.Go(func() {
-			if err := g.cfg.Tell(ctx, addr, ends); err != nil {
+			if err := g.cfg.SendEndsTo(ctx, addr, ends); err != nil {
 				g.cfg.Log.Info("sending of ends under requests to another node failed", "addr", addr, "ends", len(ends), "err", err)
 			}
 		})
@@ -45,8 +45,8 @@
 	wg.Wait()
 }
 
-// Hear records ends that another node could not write to the store, and queues them to be written.
-func (g *Guard) Hear(ends []End) {
+// ReceiveEnds records ends that another node could not write to the store, and queues them to be written.
+func (g *Guard) ReceiveEnds(ends []End) {
 	for _, e := range ends {
 		if e.Digest == (Digest{}) {
 			continue
--- a/internal/promptcache/promptcache.go
+++ b/internal/promptcache/promptcache.go
@@ -44,27 +44,27 @@
 	return out
 }
 
-// Memory records the engines that read prefixes. It is safe for concurrent use.
-type Memory struct {
+// Index records the engines that read prefixes. It is safe for concurrent use.
+type Index struct {
 	readers *lru.Cache[uint64, []string]
 }
 
 // New returns a Memory for a number of prefixes, at least one. If it is full, it evicts the prefix
 // that Read and Kept have not looked up for the longest time.
-func New(prefixes int) *Memory {
+func New(prefixes int) *Index {
 	// The only error is a size that is not positive.
 	c, err := lru.New[uint64, []string](max(prefixes, 1))
 	if err != nil {
 		panic(err)
 	}
-	return &Memory{readers: c}
+	return &Index{readers: c}
 }
 
-// Read records that an engine has read a prompt, and so all its prefixes.
-func (m *Memory) Read(engine string, prompt []Prefix) {
+// RecordRead records that an engine has read a prompt, and so all its prefixes.
+func (m *Index) RecordRead(engine string, prompt []Prefix) {
 	for _, p := range prompt {
 		old, _ := m.readers.Get(p.Hash)
-		// Kept may be reading the old slice, so it must not be changed.
+		// Match may be reading the old slice, so it must not be changed.
 		next := make([]string, 0, maxReaders)
 		next = append(next, engine)
 		for _, e := range old {
@@ -76,21 +76,21 @@
 	}
 }
 
-// Kept is how many tokens of a prompt an engine presumably has in its cache.
-type Kept struct {
+// Match is how many tokens of a prompt an engine presumably has in its cache.
+type Match struct {
 	Engine string
 	Tokens int
 }
 
-// Kept returns the engines that read a prefix of the prompt, each with its longest one: those with
+// Match returns the engines that read a prefix of the prompt, each with its longest one: those with
 // the longest prefix first, and for the same prefix the most recent reader first.
-func (m *Memory) Kept(prompt []Prefix) []Kept {
-	var out []Kept
+func (m *Index) Match(prompt []Prefix) []Match {
+	var out []Match
 	for _, p := range slices.Backward(prompt) {
 		engines, _ := m.readers.Get(p.Hash)
 		for _, e := range engines {
-			if !slices.ContainsFunc(out, func(k Kept) bool { return k.Engine == e }) {
-				out = append(out, Kept{Engine: e, Tokens: p.Tokens})
+			if !slices.ContainsFunc(out, func(k Match) bool { return k.Engine == e }) {
+				out = append(out, Match{Engine: e, Tokens: p.Tokens})
 			}
 		}
 	}
--- a/internal/promptcache/promptcache_test.go
+++ b/internal/promptcache/promptcache_test.go
@@ -12,13 +12,13 @@
 	c := qt.New(t)
 	m := New(100)
 	first := Prefixes("m", []Part{{1, 10}, {2, 20}, {3, 5}})
-	m.Read("e1", first)
-	m.Read("e2", first[:1])
+	m.RecordRead("e1", first)
+	m.RecordRead("e2", first[:1])
 	other := Prefixes("m", []Part{{1, 10}, {2, 20}, {4, 7}})
-	c.Assert(m.Kept(other), qt.DeepEquals, []Kept{{"e1", 30}, {"e2", 10}})
+	c.Assert(m.Match(other), qt.DeepEquals, []Match{{"e1", 30}, {"e2", 10}})
 	// The same parts for another model, or in another order, are different prefixes.
-	c.Assert(m.Kept(Prefixes("n", []Part{{1, 10}})), qt.HasLen, 0)
-	c.Assert(m.Kept(Prefixes("m", []Part{{2, 20}, {1, 10}})), qt.HasLen, 0)
+	c.Assert(m.Match(Prefixes("n", []Part{{1, 10}})), qt.HasLen, 0)
+	c.Assert(m.Match(Prefixes("m", []Part{{2, 20}, {1, 10}})), qt.HasLen, 0)
 }
 
 // TestOracleMemory compares Memory with a plain record of every read. The record applies the bound
@@ -38,7 +38,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "reads") {
 			parts := prompt.Draw(t, "prompt")
 			engine := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f", "g", "h"}).Draw(t, "engine")
-			m.Read(engine, Prefixes("m", parts))
+			m.RecordRead(engine, Prefixes("m", parts))
 			for i := range parts {
 				k := key(parts[:i+1])
 				reads[k] = append(reads[k], engine)
@@ -57,7 +57,7 @@
 				want[e] = tokens
 			}
 		}
-		got := m.Kept(Prefixes("m", parts))
+		got := m.Match(Prefixes("m", parts))
 		if len(got) != len(want) {
 			t.Fatalf("%v, want %v", got, want)
 		}
--- a/internal/readiness/parse.go
+++ b/internal/readiness/parse.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// ParseRest parses the values of a Retry-After header; date is the value of the Date header of the
+// ParseRetryAfter parses the values of a Retry-After header; date is the value of the Date header of the
 // same answer. It returns the longest valid time, at most Longest, and 0 if there is none. Source:
 // RFC 9110, sections 10.2.3 and 6.6.1; fractions of seconds are accepted too.
-func ParseRest(values []string, date string, now time.Time) time.Duration {
+func ParseRetryAfter(values []string, date string, now time.Time) time.Duration {
 	var rest time.Duration
 	for _, v := range values {
 		rest = max(rest, parseRest(strings.TrimSpace(v), date, now))
@@ -24,7 +24,7 @@
 		if math.IsNaN(s) || math.IsInf(s, 0) || s <= 0 {
 			return 0
 		}
-		return time.Duration(min(s, Longest.Seconds()) * float64(time.Second))
+		return time.Duration(min(s, MaxRest.Seconds()) * float64(time.Second))
 	}
 	at, err := http.ParseTime(v)
 	if err != nil {
@@ -34,5 +34,5 @@
 	if sent, err := http.ParseTime(date); err == nil {
 		now = sent
 	}
-	return min(max(at.Sub(now), 0), Longest)
+	return min(max(at.Sub(now), 0), MaxRest)
 }
--- a/internal/readiness/state.go
+++ b/internal/readiness/state.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Standing is whether a target may be sent work.
-type Standing uint8
+// Status is whether a target may be sent work.
+type Status uint8
 
 // The standings, the best first.
 const (
 	// Open: the target has reported nothing that prevents calls.
-	Open Standing = iota
+	Open Status = iota
 	// OnTrial: its rest, or the time in which it was avoided, is over; the next call is the
 	// trial call.
 	OnTrial
@@ -22,7 +22,7 @@
 )
 
 // String implements fmt.Stringer.
-func (s Standing) String() string {
+func (s Status) String() string {
 	return [...]string{"open", "on trial", "avoided", "resting", "leaving"}[s]
 }
 
@@ -38,10 +38,10 @@
 	trialTimeout = 3 * time.Second
 )
 
-// Longest bounds the rest that a target may ask for. A time of hours is usually a mistake, and
+// MaxRest bounds the rest that a target may ask for. A time of hours is usually a mistake, and
 // makes the target unavailable to all callers of the node. For this time the request for rest is
 // respected; then the target gets a trial call, as after any rest.
-const Longest = time.Hour
+const MaxRest = time.Hour
 
 // State is the readiness that one process of a target reported. The zero value is that of a
 // process that has reported nothing. It must not be used concurrently.
@@ -65,24 +65,24 @@
 // The changes.
 const (
 	Unchanged Change = iota
-	BeganToLeave
-	BeganToRest
+	StartedLeaving
+	StartedResting
 )
 
-// Hear updates the State from an answer that was received now. rejected is set if the answer
+// Update updates the State from an answer that was received now. rejected is set if the answer
 // rejected the call.
 //
 // A notice comes from the target itself, so it takes precedence over any list, which may be older.
 // Leaving holds until the process ends: a list that shows the target as ready does not undo it.
-func (s *State) Hear(n Notice, rejected bool, now time.Time) Change {
+func (s *State) Update(n Notice, rejected bool, now time.Time) Change {
 	change := Unchanged
 	if n.Leaving && !s.leaving {
 		s.leaving = true
-		change = BeganToLeave
+		change = StartedLeaving
 	}
-	if rest := min(n.Rest, Longest); rest > 0 {
+	if rest := min(n.Rest, MaxRest); rest > 0 {
 		if !(s.restRequested && s.paused(now)) && change == Unchanged {
-			change = BeganToRest
+			change = StartedResting
 		}
 		s.pause(now.Add(rest), true, now)
 		return change
@@ -112,8 +112,8 @@
 // of it.
 func (s *State) paused(now time.Time) bool { return now.Before(s.until) }
 
-// Standing returns whether the target may get work now.
-func (s *State) Standing(now time.Time) Standing {
+// Status returns whether the target may get work now.
+func (s *State) Status(now time.Time) Status {
 	switch {
 	case s.leaving:
 		return Leaving
@@ -127,46 +127,46 @@
 	return Avoided
 }
 
-// Opens returns when the rest of the target ends; zero if it does not rest, if its trial call is in
+// AvailableAt returns when the rest of the target ends; zero if it does not rest, if its trial call is in
 // progress, or if it is leaving.
-func (s *State) Opens(now time.Time) time.Time {
+func (s *State) AvailableAt(now time.Time) time.Time {
 	if s.leaving || !s.restRequested || !s.paused(now) {
 		return time.Time{}
 	}
 	return s.until
 }
 
-// Begin records the start of a call. It is the trial call if the target is OnTrial.
-func (s *State) Begin(now time.Time) {
-	if s.Standing(now) == OnTrial {
+// CallStarted records the start of a call. It is the trial call if the target is OnTrial.
+func (s *State) CallStarted(now time.Time) {
+	if s.Status(now) == OnTrial {
 		s.trial = now
 	}
 }
 
-// Took records that the target accepted a call. The rest is over if the call began with the trial
+// Accepted records that the target accepted a call. The rest is over if the call began with the trial
 // call or after it; a call from before says nothing about the target's state after the rest.
-func (s *State) Took(began time.Time) {
+func (s *State) Accepted(began time.Time) {
 	if !s.trial.IsZero() && !began.Before(s.trial) {
 		s.until, s.trial, s.restRequested, s.avoidances = time.Time{}, time.Time{}, false, 0
 	}
 }
 
-// Lost records that a call ended without an answer. If it began with the trial call or after it,
+// Unanswered records that a call ended without an answer. If it began with the trial call or after it,
 // another call may be the trial call.
-func (s *State) Lost(began time.Time) {
+func (s *State) Unanswered(began time.Time) {
 	if !s.trial.IsZero() && !began.Before(s.trial) {
 		s.trial = time.Time{}
 	}
 }
 
-// Said reports whether the process has reported anything that still applies.
-func (s *State) Said() bool { return s.leaving || !s.until.IsZero() }
+// HasReported reports whether the process has reported anything that still applies.
+func (s *State) HasReported() bool { return s.leaving || !s.until.IsZero() }
 
-// Admits reports whether a call that began at a given time may be sent now. The standing at that
+// MaySend reports whether a call that began at a given time may be sent now. The standing at that
 // time allowed the call, but may have changed while the call waited. While the target rests, only
 // its trial call may be sent.
-func (s *State) Admits(began, now time.Time) bool {
-	switch s.Standing(now) {
+func (s *State) MaySend(began, now time.Time) bool {
+	switch s.Status(now) {
 	case Open, OnTrial, Avoided:
 		return true
 	case Resting:
--- a/internal/readiness/state_test.go
+++ b/internal/readiness/state_test.go
@@ -15,58 +15,58 @@
 func TestTargetThatLeavesStaysSo(t *testing.T) {
 	c := qt.New(t)
 	var s State
-	c.Assert(s.Standing(start), qt.Equals, Open)
-	c.Assert(s.Hear(Notice{Leaving: true}, false, start), qt.Equals, BeganToLeave)
-	c.Assert(s.Hear(Notice{Leaving: true}, false, start), qt.Equals, Unchanged)
-	s.Took(start)
+	c.Assert(s.Status(start), qt.Equals, Open)
+	c.Assert(s.Update(Notice{Leaving: true}, false, start), qt.Equals, StartedLeaving)
+	c.Assert(s.Update(Notice{Leaving: true}, false, start), qt.Equals, Unchanged)
+	s.Accepted(start)
 	// An answer to an older call may arrive later, without a notice.
-	s.Hear(Notice{}, false, start.Add(time.Second))
-	c.Assert(s.Standing(start.Add(time.Hour)), qt.Equals, Leaving)
-	c.Assert(s.Admits(start, start), qt.IsFalse)
+	s.Update(Notice{}, false, start.Add(time.Second))
+	c.Assert(s.Status(start.Add(time.Hour)), qt.Equals, Leaving)
+	c.Assert(s.MaySend(start, start), qt.IsFalse)
 }
 
 func TestRestEndsWithOneCallThatIsTaken(t *testing.T) {
 	c := qt.New(t)
 	var s State
 	before := start
-	s.Begin(before)
+	s.CallStarted(before)
 	now := start.Add(time.Second)
-	c.Assert(s.Hear(Notice{Rest: 3 * time.Second}, true, now), qt.Equals, BeganToRest)
-	c.Assert(s.Opens(now), qt.Equals, now.Add(3*time.Second))
-	c.Assert(s.Admits(before, now), qt.IsFalse)
+	c.Assert(s.Update(Notice{Rest: 3 * time.Second}, true, now), qt.Equals, StartedResting)
+	c.Assert(s.AvailableAt(now), qt.Equals, now.Add(3*time.Second))
+	c.Assert(s.MaySend(before, now), qt.IsFalse)
 	// An answer to a call from before the rest does not end the rest.
-	s.Took(before)
-	c.Assert(s.Standing(now.Add(2*time.Second)), qt.Equals, Resting)
+	s.Accepted(before)
+	c.Assert(s.Status(now.Add(2*time.Second)), qt.Equals, Resting)
 
 	trial := now.Add(3 * time.Second)
-	c.Assert(s.Standing(trial), qt.Equals, OnTrial)
-	s.Begin(trial)
-	c.Assert(s.Standing(trial), qt.Equals, Resting)
-	c.Assert(s.Opens(trial).IsZero(), qt.IsTrue)
-	c.Assert(s.Admits(trial, trial), qt.IsTrue)
-	c.Assert(s.Admits(before, trial), qt.IsFalse)
-	s.Took(trial)
-	c.Assert(s.Standing(trial), qt.Equals, Open)
-	c.Assert(s.Said(), qt.IsFalse)
+	c.Assert(s.Status(trial), qt.Equals, OnTrial)
+	s.CallStarted(trial)
+	c.Assert(s.Status(trial), qt.Equals, Resting)
+	c.Assert(s.AvailableAt(trial).IsZero(), qt.IsTrue)
+	c.Assert(s.MaySend(trial, trial), qt.IsTrue)
+	c.Assert(s.MaySend(before, trial), qt.IsFalse)
+	s.Accepted(trial)
+	c.Assert(s.Status(trial), qt.Equals, Open)
+	c.Assert(s.HasReported(), qt.IsFalse)
 }
 
 func TestTrialThatIsTurnedAwayOrLostIsRepeated(t *testing.T) {
 	c := qt.New(t)
 	var s State
-	s.Hear(Notice{Rest: time.Second}, true, start)
+	s.Update(Notice{Rest: time.Second}, true, start)
 	trial := start.Add(time.Second)
-	s.Begin(trial)
-	s.Lost(trial)
-	c.Assert(s.Standing(trial), qt.Equals, OnTrial)
-	s.Begin(trial)
-	s.Hear(Notice{}, true, trial)
-	c.Assert(s.Standing(trial), qt.Equals, Avoided)
+	s.CallStarted(trial)
+	s.Unanswered(trial)
+	c.Assert(s.Status(trial), qt.Equals, OnTrial)
+	s.CallStarted(trial)
+	s.Update(Notice{}, true, trial)
+	c.Assert(s.Status(trial), qt.Equals, Avoided)
 	again := trial.Add(initialAvoidTime)
-	c.Assert(s.Standing(again), qt.Equals, OnTrial)
-	s.Begin(again)
+	c.Assert(s.Status(again), qt.Equals, OnTrial)
+	s.CallStarted(again)
 	// The trial call gets no answer.
-	c.Assert(s.Standing(again.Add(trialTimeout-1)), qt.Equals, Avoided)
-	c.Assert(s.Standing(again.Add(trialTimeout)), qt.Equals, OnTrial)
+	c.Assert(s.Status(again.Add(trialTimeout-1)), qt.Equals, Avoided)
+	c.Assert(s.Status(again.Add(trialTimeout)), qt.Equals, OnTrial)
 }
 
 // A target that rejects calls without asking for rest is avoided, for longer each time.
@@ -75,33 +75,33 @@
 	var s State
 	now := start
 	for _, avoided := range []time.Duration{initialAvoidTime, 2 * initialAvoidTime, 4 * initialAvoidTime, maxAvoidTime, maxAvoidTime} {
-		s.Begin(now)
-		c.Assert(s.Hear(Notice{}, true, now), qt.Equals, Unchanged)
+		s.CallStarted(now)
+		c.Assert(s.Update(Notice{}, true, now), qt.Equals, Unchanged)
 		// Rejections of other calls that were in progress change nothing.
-		s.Hear(Notice{}, true, now)
-		c.Assert(s.Standing(now.Add(avoided-1)), qt.Equals, Avoided)
-		c.Assert(s.Opens(now).IsZero(), qt.IsTrue)
-		c.Assert(s.Admits(now, now), qt.IsTrue)
+		s.Update(Notice{}, true, now)
+		c.Assert(s.Status(now.Add(avoided-1)), qt.Equals, Avoided)
+		c.Assert(s.AvailableAt(now).IsZero(), qt.IsTrue)
+		c.Assert(s.MaySend(now, now), qt.IsTrue)
 		now = now.Add(avoided)
-		c.Assert(s.Standing(now), qt.Equals, OnTrial)
+		c.Assert(s.Status(now), qt.Equals, OnTrial)
 	}
-	s.Begin(now)
-	s.Took(now)
-	c.Assert(s.Standing(now), qt.Equals, Open)
-	s.Hear(Notice{}, true, now)
-	c.Assert(s.Standing(now.Add(initialAvoidTime)), qt.Equals, OnTrial)
+	s.CallStarted(now)
+	s.Accepted(now)
+	c.Assert(s.Status(now), qt.Equals, Open)
+	s.Update(Notice{}, true, now)
+	c.Assert(s.Status(now.Add(initialAvoidTime)), qt.Equals, OnTrial)
 	// A rest that the target asks for meanwhile is not shortened.
-	s.Hear(Notice{Rest: 3 * time.Second}, true, now)
-	s.Hear(Notice{}, true, now)
-	c.Assert(s.Standing(now.Add(3*time.Second-1)), qt.Equals, Resting)
+	s.Update(Notice{Rest: 3 * time.Second}, true, now)
+	s.Update(Notice{}, true, now)
+	c.Assert(s.Status(now.Add(3*time.Second-1)), qt.Equals, Resting)
 }
 
 func TestRestOfHoursIsTriedAfterOne(t *testing.T) {
 	c := qt.New(t)
 	var s State
-	s.Hear(Notice{Rest: 1000 * time.Hour}, true, start)
-	c.Assert(s.Standing(start.Add(Longest-1)), qt.Equals, Resting)
-	c.Assert(s.Standing(start.Add(Longest)), qt.Equals, OnTrial)
+	s.Update(Notice{Rest: 1000 * time.Hour}, true, start)
+	c.Assert(s.Status(start.Add(MaxRest-1)), qt.Equals, Resting)
+	c.Assert(s.Status(start.Add(MaxRest)), qt.Equals, OnTrial)
 }
 
 // call is one call of TestOracleRests.
@@ -135,15 +135,15 @@
 			case 1:
 				now = now.Add(time.Duration(rapid.IntRange(1, 400).Draw(t, "s")) * time.Second)
 			case 2:
-				if s.Standing(now) < Resting {
-					s.Begin(now)
+				if s.Status(now) < Resting {
+					s.CallStarted(now)
 					waiting = append(waiting, &call{began: now})
 				}
 			case 3:
 				if len(waiting) > 0 {
 					c := take(&waiting, "sent")
-					if !s.Admits(c.began, now) {
-						s.Lost(c.began)
+					if !s.MaySend(c.began, now) {
+						s.Unanswered(c.began)
 						continue
 					}
 					if !left.IsZero() {
@@ -161,19 +161,19 @@
 					if n.Rest > 0 {
 						rests = append(rests, rest{now.Add(500 * time.Millisecond), now.Add(n.Rest)})
 					}
-					s.Hear(n, true, now)
-					s.Lost(c.began)
+					s.Update(n, true, now)
+					s.Unanswered(c.began)
 				}
 			case 5:
 				if len(open) > 0 {
 					c := take(&open, "taken")
-					s.Hear(Notice{}, false, now)
-					s.Took(c.began)
-					s.Lost(c.began)
+					s.Update(Notice{}, false, now)
+					s.Accepted(c.began)
+					s.Unanswered(c.began)
 				}
 			case 6:
 				if len(open) > 0 && rapid.IntRange(0, 20).Draw(t, "leaves") == 0 {
-					s.Hear(Notice{Leaving: true}, false, now)
+					s.Update(Notice{Leaving: true}, false, now)
 					left = now
 				}
 			}
@@ -189,7 +189,7 @@
 				t.Fatalf("%d calls in a rest", in)
 			}
 		}
-		if left.IsZero() && s.Standing(now.Add(Longest+trialTimeout)) == Resting {
+		if left.IsZero() && s.Status(now.Add(MaxRest+trialTimeout)) == Resting {
 			t.Fatalf("the target still rests after the longest rest and trial")
 		}
 	})
--- a/internal/region/region.go
+++ b/internal/region/region.go
@@ -32,8 +32,8 @@
 	return !s.restricted || name != "" && slices.Contains(s.names, name)
 }
 
-// And returns the intersection of the sets.
-func (s Set) And(o Set) Set {
+// Intersect returns the intersection of the sets.
+func (s Set) Intersect(o Set) Set {
 	switch {
 	case !s.restricted:
 		return o
--- a/internal/relay/follower.go
+++ b/internal/relay/follower.go
@@ -65,15 +65,15 @@
 	Self, DataCentre string
 	// Nodes lists the nodes of the data centre that can be followed. Known is closed when that
 	// list is known and the nodes can be called.
-	Nodes func() []Node
-	Known <-chan struct{}
-	// Answered is closed when the store has answered this process for the first time.
-	Answered <-chan struct{}
-	Remote   Remote
+	Nodes      func() []Node
+	NodesKnown <-chan struct{}
+	// StoreAnswered is closed when the store has answered this process for the first time.
+	StoreAnswered <-chan struct{}
+	Remote        Remote
 	// Tables are the tables to update; the calls of the first determine whether the store answers.
-	Tables []*watch.Table
-	Teller *Teller
-	Log    *slog.Logger
+	Tables    []*watch.Table
+	Publisher *Publisher
+	Log       *slog.Logger
 
 	// following is set while another node supplies the updates of the tables.
 	following atomic.Bool
@@ -102,8 +102,8 @@
 	away bool
 }
 
-// Alone reports whether the tables poll the store.
-func (f *Follower) Alone() bool { return !f.following.Load() }
+// PollsStore reports whether the tables poll the store.
+func (f *Follower) PollsStore() bool { return !f.following.Load() }
 
 // Serve implements suture.Service.
 func (f *Follower) Serve(ctx context.Context) error {
@@ -145,13 +145,13 @@
 func (f *Follower) awaitKnown(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-f.Answered:
+	case <-f.StoreAnswered:
 	}
 	timer := time.NewTimer(listTimeout)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-f.Known:
+	case <-f.NodesKnown:
 	case <-timer.C:
 	}
 }
@@ -160,7 +160,7 @@
 func (f *Follower) choose() (Node, bool) {
 	now := time.Now()
 	st := ChoiceState{
-		Self: f.Self, Ranked: Rank(f.DataCentre, f.Nodes()), Followed: f.Teller.Followers() > 0, Lost: f.Tables[0].Lost(),
+		Self: f.Self, Ranked: Rank(f.DataCentre, f.Nodes()), Followed: f.Publisher.Followers() > 0, Lost: f.Tables[0].Lost(),
 		Skipped: make(map[string]bool), Away: make(map[string]bool),
 	}
 	for name, p := range f.skipped {
@@ -175,7 +175,7 @@
 func (f *Follower) pollStore(ctx context.Context) {
 	if f.teller != selfFollows {
 		f.teller = selfFollows
-		f.Log.Info("following the store by itself", "data_centre_nodes", len(f.Nodes()), "followers", f.Teller.Followers())
+		f.Log.Info("following the store by itself", "data_centre_nodes", len(f.Nodes()), "followers", f.Publisher.Followers())
 	}
 	f.release()
 	f.pause(ctx, recheckInterval)
@@ -203,7 +203,7 @@
 func (f *Follower) release() {
 	f.following.Store(false)
 	for _, t := range f.Tables {
-		t.Release()
+		t.ResumePolling()
 	}
 }
 
@@ -212,7 +212,7 @@
 
 // leave skips a node after its call ended with err, unless it is to be called again at once.
 func (f *Follower) leave(n Node, err error) {
-	again := errors.Is(err, watch.ErrGap) || errors.Is(err, watch.ErrDiffers)
+	again := errors.Is(err, watch.ErrGap) || errors.Is(err, watch.ErrCopiesDiffer)
 	if errors.Is(err, errMoved) || again && time.Since(f.repeated) > repeatInterval {
 		if again {
 			f.repeated = time.Now()
@@ -263,7 +263,7 @@
 	if errors.Is(context.Cause(ctx), errMoved) {
 		return errMoved
 	}
-	if errors.Is(err, watch.ErrDiffers) {
+	if errors.Is(err, watch.ErrCopiesDiffer) {
 		f.whole = true
 	}
 	return err
@@ -294,7 +294,7 @@
 		case t.Copy().Rows() == nil:
 			out[i].Version = NoVersion
 		case f.whole:
-			out[i].Version = watch.Anew
+			out[i].Version = watch.ResetVersion
 		}
 	}
 	f.whole = false
@@ -305,7 +305,7 @@
 func (f *Follower) doubts() []int64 {
 	out := make([]int64, len(f.Tables))
 	for i, t := range f.Tables {
-		out[i] = t.Doubt()
+		out[i] = t.Invalidations()
 	}
 	return out
 }
@@ -321,10 +321,10 @@
 	if len(t.Tables) != len(s.f.Tables) {
 		return ErrEmpty
 	}
-	if !t.Tables[0].Position.Version.IsZero() && !t.Away && t.Age <= maxAge {
+	if !t.Tables[0].Position.Version.IsZero() && !t.Away && t.AnswerAge <= maxAge {
 		// This precedes the rows, so that their views have the time of the store's return: some rows
 		// may be missing shortly after it.
-		s.recordAnswer(now.Add(-t.Age))
+		s.recordAnswer(now.Add(-t.AnswerAge))
 	}
 	// An update is sent only once, so it is applied in any case.
 	if err := s.applyTables(t); err != nil {
@@ -333,7 +333,7 @@
 	if t.Tables[0].Position.Version.IsZero() {
 		return s.checkEmpty(now)
 	}
-	if t.Away || t.Age > maxAge {
+	if t.Away || t.AnswerAge > maxAge {
 		return s.handleAway(now)
 	}
 	if !s.told {
@@ -350,7 +350,7 @@
 // recordAnswer records in the tables that the store answered the node at the given time.
 func (s *session) recordAnswer(at time.Time) {
 	for _, table := range s.f.Tables {
-		table.Heard(at)
+		table.RecordAnswer(at)
 	}
 }
 
@@ -369,9 +369,9 @@
 	case s.asked.IsZero(), lead.Lost() && now.After(s.probe):
 		s.asked = now
 		s.probe = now.Add(probeInterval/2 + rand.N(probeInterval))
-		lead.Poke()
+		lead.PollNow()
 	case lead.Lost():
-	case lead.LastHeard().After(s.asked), now.Sub(s.asked) > ownAnswerTimeout:
+	case lead.LastAnswer().After(s.asked), now.Sub(s.asked) > ownAnswerTimeout:
 		return ErrStoreUnavailable
 	}
 	return nil
@@ -403,7 +403,7 @@
 			continue
 		}
 		if theirs.News != nil {
-			if err := table.Take(*theirs.News); err != nil {
+			if err := table.ApplyUpdate(*theirs.News); err != nil {
 				return eris.Wrapf(err, "table %s at version %s", table.Name, theirs.Position.Version)
 			}
 		}
@@ -445,6 +445,6 @@
 func (f *Follower) hold() {
 	f.following.Store(true)
 	for _, t := range f.Tables {
-		t.Hold()
+		t.StopPolling()
 	}
 }
--- a/internal/relay/follower_test.go
+++ b/internal/relay/follower_test.go
@@ -76,10 +76,10 @@
 	var copied watch.Table
 	copied.Apply = func(watch.View) {}
 	news := &watch.News{Whole: true, Version: at, Rows: []store.Row{row}}
-	if err := copied.Take(*news); err != nil {
+	if err := copied.ApplyUpdate(*news); err != nil {
 		panic(err)
 	}
-	return Told{Age: age, Tables: []TableTold{{Position: copied.Copy().Position(), News: news}}}
+	return Told{AnswerAge: age, Tables: []TableMessage{{Position: copied.Copy().Position(), News: news}}}
 }
 
 // following runs a follower, the last in rank order of four nodes, while f runs.
@@ -88,7 +88,7 @@
 		quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 		twin := store.NewMemory()
 		table := &watch.Table{Name: "t", From: twin, Wait: watch.ShortWait, Apply: func(watch.View) {}, Log: quiet}
-		table.Hold()
+		table.StopPolling()
 		ranked := Rank("hall", dataCentre(4))
 		r := &scripted{says: make(map[string]Told)}
 		for i, n := range ranked {
@@ -99,8 +99,8 @@
 		known := make(chan struct{})
 		close(known)
 		fol := &Follower{
-			Self: ranked[3].Name, DataCentre: "hall", Nodes: func() []Node { return ranked }, Known: known, Answered: known,
-			Remote: r, Tables: []*watch.Table{table}, Teller: NewTeller(table), Log: quiet,
+			Self: ranked[3].Name, DataCentre: "hall", Nodes: func() []Node { return ranked }, NodesKnown: known, StoreAnswered: known,
+			Remote: r, Tables: []*watch.Table{table}, Publisher: NewPublisher(table), Log: quiet,
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -116,8 +116,8 @@
 	for name, told := range map[string]Told{
 		"store is away":    {Away: true, Tables: tellerWith(9, 0).Tables},
 		"word is old":      tellerWith(9, maxAge+time.Millisecond),
-		"copy is empty":    {Tables: make([]TableTold, 1)},
-		"tables are other": {Tables: make([]TableTold, 2)},
+		"copy is empty":    {Tables: make([]TableMessage, 1)},
+		"tables are other": {Tables: make([]TableMessage, 2)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			says := map[string]Told{"0": told, "1": tellerWith(5, 0)}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -42,14 +42,14 @@
 type Told struct {
 	// Away is set if the store does not answer the sending node.
 	Away bool
-	// Age is the time since the store last answered the sending node; 0 also if it never did.
-	Age time.Duration
+	// AnswerAge is the time since the store last answered the sending node; 0 also if it never did.
+	AnswerAge time.Duration
 	// Tables has an entry for each requested table, in the order of the request.
-	Tables []TableTold
+	Tables []TableMessage
 }
 
-// TableTold is the part of a message for one table.
-type TableTold struct {
+// TableMessage is the part of a message for one table.
+type TableMessage struct {
 	// Position is that of the sender's copy. All changes up to it have been sent.
 	Position watch.Position
 	// News is the update for the follower; nil if it lacks nothing.
@@ -79,12 +79,12 @@
 	errMoved = errors.New("relay: the node to follow changed or the call was renewed")
 )
 
-// Fewest is the least number of nodes in a data centre at which relays are used. By the waits of
+// MinNodes is the least number of nodes in a data centre at which relays are used. By the waits of
 // package watch, a followed node makes 1.33 calls per second to the store (targets and
 // configuration), and a node that polls the store itself 0.38. So with two nodes relays cost 0.57
 // calls per second more, with three 0.18 more, and with four they save 0.2. With three nodes that
 // cost is accepted, since a node that the store refuses can then get updates from another one.
-const Fewest = 3
+const MinNodes = 3
 
 // maxCandidates is how many nodes, in rank order, are tried before the node polls the store itself:
 // if the first ones are lost for good, the next are followed. Each try may take acceptTimeout.
@@ -133,7 +133,7 @@
 // may follow any other node that the store answers. If the store answers no node, the nodes ranked
 // behind the first one follow it, and that one detects when the store is back.
 func Choose(s ChoiceState) (teller Node, ok bool) {
-	if s.Followed || len(s.Ranked) < Fewest {
+	if s.Followed || len(s.Ranked) < MinNodes {
 		return Node{}, false
 	}
 	behind := false
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -63,7 +63,7 @@
 			qt.Assert(t, ok, qt.Equals, tc.want != "")
 		})
 	}
-	_, ok := Choose(ChoiceState{Self: "n1", Ranked: ranked[:Fewest-1]})
+	_, ok := Choose(ChoiceState{Self: "n1", Ranked: ranked[:MinNodes-1]})
 	qt.Assert(t, ok, qt.IsFalse)
 }
 
@@ -75,7 +75,7 @@
 // not answer them.
 func TestOracleWhereTheStoreAnswersNobodySomebodyAsks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		nodes := Rank("hall", dataCentre(rapid.IntRange(Fewest, 8).Draw(t, "nodes")))
+		nodes := Rank("hall", dataCentre(rapid.IntRange(MinNodes, 8).Draw(t, "nodes")))
 		choice := make(map[string]string)
 		for _, n := range nodes {
 			s := ChoiceState{Self: n.Name, Ranked: nodes, Lost: true, Skipped: map[string]bool{}, Away: map[string]bool{}}
--- a/internal/relay/teller.go
+++ b/internal/relay/teller.go
@@ -13,9 +13,9 @@
 // receives none for silenceTimeout treats the node as hung or cut off.
 const heartbeat = 400 * time.Millisecond
 
-// Teller sends this node's copies of tables to the nodes that follow it. It is safe for concurrent
+// Publisher sends this node's copies of tables to the nodes that follow it. It is safe for concurrent
 // use. It implements suture.Service.
-type Teller struct {
+type Publisher struct {
 	tables []*watch.Table
 
 	followers atomic.Int64
@@ -27,21 +27,21 @@
 	wake chan struct{}
 }
 
-// NewTeller returns a Teller of these tables. The calls of the first table determine whether the
+// NewPublisher returns a Teller of these tables. The calls of the first table determine whether the
 // store answers.
-func NewTeller(tables ...*watch.Table) *Teller {
-	return &Teller{tables: tables, wake: make(chan struct{})}
+func NewPublisher(tables ...*watch.Table) *Publisher {
+	return &Publisher{tables: tables, wake: make(chan struct{})}
 }
 
 // Tables returns the tables whose copies are sent.
-func (t *Teller) Tables() []*watch.Table { return t.tables }
+func (t *Publisher) Tables() []*watch.Table { return t.tables }
 
 // Followers returns how many nodes follow this one.
-func (t *Teller) Followers() int { return int(t.followers.Load()) }
+func (t *Publisher) Followers() int { return int(t.followers.Load()) }
 
 // Wake sends the next message to each follower now, as a copy changed, or the store stopped or
 // resumed answering.
-func (t *Teller) Wake() {
+func (t *Publisher) Wake() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	close(t.wake)
@@ -49,13 +49,13 @@
 }
 
 // Stop ends all calls of followers with ErrStopping, also later ones.
-func (t *Teller) Stop() {
+func (t *Publisher) Stop() {
 	t.stopping.Store(true)
 	t.Wake()
 }
 
 // woken returns the channel that the next Wake closes.
-func (t *Teller) woken() <-chan struct{} {
+func (t *Publisher) woken() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.wake
@@ -63,7 +63,7 @@
 
 // Follow sends a follower what it lacks and all later changes, until ctx ends, send fails or Stop is
 // called. It updates the versions in have to what was sent.
-func (t *Teller) Follow(ctx context.Context, have []Have, send func(Told) error) error {
+func (t *Publisher) Follow(ctx context.Context, have []Have, send func(Told) error) error {
 	t.followers.Add(1)
 	t.refresh()
 	defer t.followers.Add(-1)
@@ -88,7 +88,7 @@
 
 // lacks reports whether a follower at the versions in have lacks changes, as after a cached update
 // with a whole table.
-func (t *Teller) lacks(have []Have) bool {
+func (t *Publisher) lacks(have []Have) bool {
 	for _, h := range have {
 		if table := t.table(h.Table); table != nil && h.Version.Before(table.Copy().Position().Version) {
 			return true
@@ -98,7 +98,7 @@
 }
 
 // Serve implements suture.Service: it sends a message to each follower every heartbeat.
-func (t *Teller) Serve(ctx context.Context) error {
+func (t *Publisher) Serve(ctx context.Context) error {
 	tick := time.NewTicker(heartbeat)
 	defer tick.Stop()
 	for {
@@ -117,16 +117,16 @@
 // long that the last answer is too old for a follower. It does so at most once per maxAge, however
 // often followers come and go. It ends the calls of all tables: only the first table's calls detect
 // a hanging call, and the one in progress ends here.
-func (t *Teller) refresh() {
+func (t *Publisher) refresh() {
 	last := t.refreshed.Load()
 	now := time.Now().UnixNano()
 	if t.followers.Load() > 1 || now-last < int64(maxAge) || !t.refreshed.CompareAndSwap(last, now) {
 		return
 	}
-	t.tables[0].Poke()
+	t.tables[0].PollNow()
 	for _, table := range t.tables[1:] {
 		if table.Copy().Rows() == nil {
-			table.Poke()
+			table.PollNow()
 			continue
 		}
 		table.Renew()
@@ -134,25 +134,25 @@
 }
 
 // buildMessage builds one message and records in have the versions that it brings a follower to.
-func (t *Teller) buildMessage(have []Have) Told {
+func (t *Publisher) buildMessage(have []Have) Told {
 	lead := t.tables[0]
 	// Before the first answer, and after the host was suspended, the copies may be old.
-	told := Told{Away: lead.Lost() || lead.LastHeard().IsZero(), Tables: make([]TableTold, len(have))}
-	if heard := lead.LastHeard(); !heard.IsZero() {
-		told.Age = time.Since(heard)
+	told := Told{Away: lead.Lost() || lead.LastAnswer().IsZero(), Tables: make([]TableMessage, len(have))}
+	if heard := lead.LastAnswer(); !heard.IsZero() {
+		told.AnswerAge = time.Since(heard)
 	}
 	for i := range have {
 		table := t.table(have[i].Table)
 		if table == nil {
 			continue
 		}
-		told.Tables[i].News, told.Tables[i].Position = table.Copy().Tell(have[i].Version)
+		told.Tables[i].News, told.Tables[i].Position = table.Copy().CachedSince(have[i].Version)
 		have[i].Version = have[i].Version.Max(told.Tables[i].Position.Version)
 	}
 	return told
 }
 
-func (t *Teller) table(name string) *watch.Table {
+func (t *Publisher) table(name string) *watch.Table {
 	for _, table := range t.tables {
 		if table.Name == name {
 			return table
--- a/internal/restore/restore.go
+++ b/internal/restore/restore.go
@@ -68,7 +68,7 @@
 	// Lost are the keys of rows in force that the store does not have, or has with another value
 	// that is held back. Undone are the keys of rows that were removed and that the store has
 	// again.
-	Lost, Undone []string
+	Lost, Reappeared []string
 }
 
 // Update evaluates a copy of the table and returns the rows in force.
@@ -90,7 +90,7 @@
 			out.Lost = append(out.Lost, key)
 			continue
 		}
-		out.Undone = append(out.Undone, key)
+		out.Reappeared = append(out.Reappeared, key)
 	}
 	for key, current := range k.rows {
 		_, stored := v.Rows[key]
--- a/internal/restore/restore_test.go
+++ b/internal/restore/restore_test.go
@@ -63,7 +63,7 @@
 	c.Assert(res.Restored, qt.IsTrue)
 	c.Assert(b.values, qt.DeepEquals, map[string]string{"config": "v2", "drain/2": "dc2"})
 	c.Assert(res.Lost, qt.HasLen, 2)
-	c.Assert(res.Undone, qt.DeepEquals, []string{"drain"})
+	c.Assert(res.Reappeared, qt.DeepEquals, []string{"drain"})
 
 	// A row that is written after the store came back takes effect at once, whatever its value.
 	b.put("config", "v1 again")
@@ -172,7 +172,7 @@
 		b.now = b.now.Add(lostHold)
 		res := b.update()
 		snap, err := b.m.Snapshot(t.Context(), "op", store.Version{})
-		if err != nil || len(res.Lost)+len(res.Undone) > 0 || len(snap.Rows) != len(b.values) {
+		if err != nil || len(res.Lost)+len(res.Reappeared) > 0 || len(snap.Rows) != len(b.values) {
 			rt.Fatalf("the store's rows are not in force after the holds: %v, %v, %v", res, snap, err)
 		}
 	})
--- a/internal/restore/table.go
+++ b/internal/restore/table.go
@@ -18,10 +18,10 @@
 	Name string
 	// Apply is called with each set of rows in force, one call at a time.
 	Apply func(v watch.View, r Result)
-	// Mend, if set, is called to write lost and undone rows again: once after each restore of the
+	// RewriteLost, if set, is called to write lost and undone rows again: once after each restore of the
 	// store, after a random delay below rewriteSpread, if there are such rows by then.
-	Mend func(r Result)
-	Log  *slog.Logger
+	RewriteLost func(r Result)
+	Log         *slog.Logger
 
 	mu         sync.Mutex
 	reconciler Reconciler
@@ -31,8 +31,8 @@
 	recheckTimer *time.Timer
 }
 
-// Take evaluates a new copy of the table; it is an Apply function of watch.Table.
-func (t *Table) Take(v watch.View) {
+// Update evaluates a new copy of the table; it is an Apply function of watch.Table.
+func (t *Table) Update(v watch.View) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.view = v
@@ -47,15 +47,15 @@
 	t.last = t.reconciler.Update(t.view, time.Now())
 	if t.last.Restored {
 		t.Log.Warn("the store came back from a copy, lost rows stay in force", "table", t.Name, "row_version", t.view.Version,
-			"lost", len(t.last.Lost), "undone", len(t.last.Undone), "until", t.last.RecheckAt)
-		if t.Mend != nil {
+			"lost", len(t.last.Lost), "undone", len(t.last.Reappeared), "until", t.last.RecheckAt)
+		if t.RewriteLost != nil {
 			time.AfterFunc(rand.N(rewriteSpread), t.rewrite)
 		}
 	}
 	if !t.last.RecheckAt.IsZero() {
 		t.recheckTimer = time.AfterFunc(time.Until(t.last.RecheckAt), t.recheck)
 	}
-	t.Apply(watch.View{Rows: t.last.Rows, Version: t.view.Version, Regained: t.view.Regained}, t.last)
+	t.Apply(watch.View{Rows: t.last.Rows, Version: t.view.Version, RestoredAt: t.view.RestoredAt}, t.last)
 }
 
 // recheck evaluates the newest copy again after a hold has ended.
@@ -70,7 +70,7 @@
 	t.mu.Lock()
 	last := t.last
 	t.mu.Unlock()
-	if len(last.Lost)+len(last.Undone) > 0 {
-		t.Mend(last)
+	if len(last.Lost)+len(last.Reappeared) > 0 {
+		t.RewriteLost(last)
 	}
 }
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -148,9 +148,9 @@
 	g.barred[s.Service] = barred[max(len(barred)-maxBarred, 0):]
 }
 
-// Lapse expires all shares until the owner answers a new report. It is called after the host was
+// Expire expires all shares until the owner answers a new report. It is called after the host was
 // suspended, since the clock of the process did not advance meanwhile.
-func (g *Gate) Lapse() {
+func (g *Gate) Expire() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, s := range g.orders {
@@ -171,10 +171,10 @@
 	return ok && !last.Before(o.Revision)
 }
 
-// Lanes returns the groups of targets that a call for a service may go to, the preferred one
+// TargetGroups returns the groups of targets that a call for a service may go to, the preferred one
 // first; nil if all targets are allowed. again says that the request is repeated: repeats are not
 // sent to a version on trial. others reports whether targets of versions other than version exist.
-func (g *Gate) Lanes(service string, again bool, others func(version string) bool) []Lane {
+func (g *Gate) TargetGroups(service string, again bool, others func(version string) bool) []TargetGroup {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s, barred := g.orders[service], g.barred[service]
@@ -182,19 +182,19 @@
 		if len(barred) == 0 {
 			return nil
 		}
-		return []Lane{{Barred: barred}}
+		return []TargetGroup{{Excluded: barred}}
 	}
-	old := Lane{Barred: append(slices.Clone(barred), s.To)}
+	old := TargetGroup{Excluded: append(slices.Clone(barred), s.To)}
 	switch {
 	case s.answer.State == Completed:
-		return []Lane{{Only: s.To, Barred: barred}, {Barred: barred}}
+		return []TargetGroup{{Version: s.To, Excluded: barred}, {Excluded: barred}}
 	case s.answer.State == Unknown && !others(s.To):
 		// No target of another version exists, so the order was probably completed.
-		return []Lane{{Barred: barred}}
+		return []TargetGroup{{Excluded: barred}}
 	case again || g.random() >= s.share(time.Now()):
-		return []Lane{old}
+		return []TargetGroup{old}
 	}
-	return []Lane{{Only: s.To, Barred: barred, Part: s.answer.Share}, old}
+	return []TargetGroup{{Version: s.To, Excluded: barred, Fraction: s.answer.Share}, old}
 }
 
 // share returns the share of the calls that the new version gets at a time.
@@ -217,7 +217,7 @@
 	return s.To, s.share(time.Now())
 }
 
-// Barred returns the versions of a service that get no calls.
+// Excluded returns the versions of a service that get no calls.
 func (g *Gate) Barred(service string) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -256,8 +256,8 @@
 	Bad
 	// Left: the caller abandoned the call without an answer.
 	Left
-	// Nothing: the call was not run, or its end says nothing about the version.
-	Nothing
+	// Inconclusive: the call was not run, or its end says nothing about the version.
+	Inconclusive
 )
 
 // Ended counts the outcome of a call that Sent counted. took is the time until its answer, or until it
@@ -290,7 +290,7 @@
 			default:
 			}
 		}
-	case Nothing:
+	case Inconclusive:
 		return
 	}
 	s.evidence.Tallies[source] = t
--- a/internal/rollout/gate_test.go
+++ b/internal/rollout/gate_test.go
@@ -17,13 +17,13 @@
 	g.SetOrders([]Order{{Service: "s", To: "v2", Lasts: time.Minute}})
 	s := g.orders["s"]
 	tried := func() bool {
-		return g.Lanes("s", false, func(string) bool { return true })[0].Only == "v2"
+		return g.TargetGroups("s", false, func(string) bool { return true })[0].Version == "v2"
 	}
 	running := Answer{State: Running, Share: 0.1}
 	r, unreportedBad, lapses := g.next(s)
 	g.applyAnswer(s, r, unreportedBad, lapses, running)
 	c.Assert(tried(), qt.IsTrue)
-	g.Lapse()
+	g.Expire()
 	c.Assert(tried(), qt.IsFalse)
 	// This answers a report from before the suspension.
 	g.applyAnswer(s, r, unreportedBad, lapses, running)
--- a/internal/rollout/owner.go
+++ b/internal/rollout/owner.go
@@ -11,8 +11,8 @@
 // ErrSuperseded reports that the store has the record of a newer order of the service.
 var ErrSuperseded = errors.New("rollout: a newer order of the service stands")
 
-// Book writes the records of orders to the store.
-type Book interface {
+// RecordStore writes the records of orders to the store.
+type RecordStore interface {
 	// Save writes a record. If the store already has a record of the same order, Save replaces it
 	// only if it is not final and r is. Save returns the record that the store has afterwards. It
 	// fails with ErrSuperseded, or with an error of the store.
@@ -30,8 +30,8 @@
 // reporting nodes choose the one that they report to, so two nodes may own an order at the same time.
 // It is safe for concurrent use.
 type Owner struct {
-	Bounds Bounds
-	Book   Book
+	Bounds      Bounds
+	RecordStore RecordStore
 	// Targets returns the counts of the service's targets that this node knows of. Their field New
 	// counts those of version.
 	Targets func(service, version string) Targets
@@ -102,9 +102,9 @@
 	errClosed    = errors.New("rollout: the owner is closed")
 )
 
-// Lapse drops the state of all orders. It is called after the host was suspended: another node may
+// Expire drops the state of all orders. It is called after the host was suspended: another node may
 // have decided on the orders meanwhile. The next report on an order starts a new run.
-func (w *Owner) Lapse() {
+func (w *Owner) Expire() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.drop()
@@ -140,7 +140,7 @@
 	if x == nil {
 		x = w.begin(r.Order, now)
 	}
-	x.trial.Take(r, now)
+	x.trial.AddReport(r, now)
 	if last := x.releases[r.Node]; last != nil {
 		close(last)
 	}
@@ -193,7 +193,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), saveTimeout)
 	defer cancel()
-	kept, err := w.Book.Save(ctx, record)
+	kept, err := w.RecordStore.Save(ctx, record)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
--- a/internal/rollout/owner_test.go
+++ b/internal/rollout/owner_test.go
@@ -28,14 +28,14 @@
 		synctest.Test(t, func(t *testing.T) {
 			store := &countingStore{}
 			w := &Owner{
-				Book: store, Targets: func(string, string) Targets { return Targets{} }, Withdrawn: func(Order) bool { return false },
+				RecordStore: store, Targets: func(string, string) Targets { return Targets{} }, Withdrawn: func(Order) bool { return false },
 				Nodes: func() int { return 1 }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 			}
 			o := Order{Service: "s", To: "v2", Lasts: 5 * time.Second}
 			_, err := w.Report(t.Context(), Report{Node: "a", Order: o, Hold: time.Second})
 			qt.Assert(t, err, qt.IsNil)
 			if suspended {
-				w.Lapse()
+				w.Expire()
 			}
 			for range 20 {
 				time.Sleep(500 * time.Millisecond)
--- a/internal/rollout/owners_test.go
+++ b/internal/rollout/owners_test.go
@@ -73,7 +73,7 @@
 
 func (f *fleet) newOwner(ctx context.Context) *Owner {
 	w := &Owner{
-		Bounds: Bounds{Share: 0.1, Slack: 50}, Book: f.store, Nodes: func() int { return f.nodes },
+		Bounds: Bounds{Share: 0.1, Slack: 50}, RecordStore: f.store, Nodes: func() int { return f.nodes },
 		Targets:   func(string, string) Targets { return Targets{New: 4, Warm: 4, Old: 4} },
 		Withdrawn: func(Order) bool { return false },
 		Log:       slog.New(slog.NewTextHandler(io.Discard, nil)),
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -52,18 +52,18 @@
 	Deadline time.Time `json:"deadline"`
 }
 
-// Lane is a group of targets of a service that a call may go to.
-type Lane struct {
-	// Only is the version of its targets; "" for any.
-	Only string
-	// Barred lists versions whose targets are not in the lane.
-	Barred []string
-	// Part is the part of the version's targets that take its calls; 0 means all. A small share
+// TargetGroup is a group of targets of a service that a call may go to.
+type TargetGroup struct {
+	// Version is the version of its targets; "" for any.
+	Version string
+	// Excluded lists versions whose targets are not in the lane.
+	Excluded []string
+	// Fraction is the part of the version's targets that take its calls; 0 means all. A small share
 	// of the traffic, sent to a few targets, shows how the version performs under load.
-	Part float64
+	Fraction float64
 }
 
 // Admits reports whether targets of a version are in the lane.
-func (l Lane) Admits(version string) bool {
-	return (l.Only == "" || version == l.Only) && !slices.Contains(l.Barred, version)
+func (l TargetGroup) Admits(version string) bool {
+	return (l.Version == "" || version == l.Version) && !slices.Contains(l.Excluded, version)
 }
--- a/internal/rollout/trial.go
+++ b/internal/rollout/trial.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// Take adds a node's report.
-func (t *Trial) Take(r Report, now time.Time) {
+// AddReport adds a node's report.
+func (t *Trial) AddReport(r Report, now time.Time) {
 	node := t.nodes[r.Node]
 	if node == nil {
 		node = &reporter{since: now, sentBefore: r.Evidence.Sent}
--- a/internal/rollout/trial_test.go
+++ b/internal/rollout/trial_test.go
@@ -26,13 +26,13 @@
 // The first report of a node counts calls from before: they give no rate.
 func TestRateOfCallsIsNotKnownAtOnce(t *testing.T) {
 	trial := NewTrial(oneOrder, Bounds{}, start)
-	trial.Take(reportOf("a", 1000, 0, false), start)
+	trial.AddReport(reportOf("a", 1000, 0, false), start)
 	qt.Check(t, trial.Count(start).PerSecond, qt.Equals, 0.0)
 	now := start.Add(100 * time.Millisecond)
-	trial.Take(reportOf("a", 1100, 0, false), now)
+	trial.AddReport(reportOf("a", 1100, 0, false), now)
 	qt.Check(t, trial.Count(now).PerSecond, qt.Equals, 0.0)
 	now = start.Add(2 * time.Second)
-	trial.Take(reportOf("a", 1200, 0, false), now)
+	trial.AddReport(reportOf("a", 1200, 0, false), now)
 	qt.Check(t, trial.Count(now).PerSecond, qt.Equals, 100.0)
 }
 
@@ -43,11 +43,11 @@
 		trial := NewTrial(oneOrder, Bounds{Share: 0.1, Slack: 50}, start)
 		view := View{Nodes: 2, Targets: Targets{New: 4, Warm: 4, Old: 4}}
 		for _, node := range []string{"a", "b"} {
-			trial.Take(reportOf(node, 100, 0, false), start)
+			trial.AddReport(reportOf(node, 100, 0, false), start)
 		}
 		qt.Assert(t, trial.Step(start, view).Share > 0, qt.IsTrue)
 		now := start.Add(stepInterval)
-		trial.Take(reportOf("a", 120, 20, true), now)
+		trial.AddReport(reportOf("a", 120, 20, true), now)
 		for range 3 {
 			step := trial.Step(now, view)
 			qt.Check(t, step.Phase, qt.Equals, "doubt")
@@ -58,8 +58,8 @@
 		if alike {
 			bad = 200
 		}
-		trial.Take(reportOf("a", 120, 20, true), now)
-		trial.Take(reportOf("b", 300, bad, false), now)
+		trial.AddReport(reportOf("a", 120, 20, true), now)
+		trial.AddReport(reportOf("b", 300, bad, false), now)
 		want := RolledBack
 		if alike {
 			want = Running
@@ -74,9 +74,9 @@
 	trial := NewTrial(oneOrder, Bounds{Share: 0.1}, start)
 	lost := reportOf("a", 100, 0, false)
 	lost.Evidence.SentNew = 60
-	trial.Take(lost, start)
+	trial.AddReport(lost, start)
 	now := start.Add(LeaseOf(minHold) + time.Second)
-	trial.Take(reportOf("b", 100, 0, false), now)
+	trial.AddReport(reportOf("b", 100, 0, false), now)
 	n := trial.Count(now)
 	qt.Check(t, n.Nodes, qt.Equals, 1)
 	qt.Check(t, n.Sent, qt.Equals, uint64(100))
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -116,10 +116,10 @@
 	// CallTime is the fixed time of a call, ItemTime the additional time of each
 	// piece; both are approximate.
 	CallTime, ItemTime time.Duration
-	// RoomBytes is the capacity for results, in bytes. Keep is how long a result
+	// ResultSpace is the capacity for results, in bytes. Keep is how long a result
 	// is kept.
-	RoomBytes int64
-	Keep      time.Duration
+	ResultSpace int64
+	Keep        time.Duration
 }
 
 // Engine describes the capacity of one model engine.
@@ -206,7 +206,7 @@
 	if a == nil {
 		return r.Regions
 	}
-	return r.Regions.And(a.Regions)
+	return r.Regions.Intersect(a.Regions)
 }
 
 // NeedsKey reports whether requests on a route need a credential.
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -61,10 +61,10 @@
 	DataCentre string
 	// Prefix is the hash of the prompt's prefix; 0 for no affinity.
 	Prefix uint64
-	// Reach multiplies the limit of a target for this call. A higher class has a
+	// LimitFactor multiplies the limit of a target for this call. A higher class has a
 	// higher factor, so that it does not wait for slots that lower classes of the
 	// same node use. 0 counts as 1.
-	Reach float64
+	LimitFactor float64
 	// Exclude lists the IDs of targets that this call is not sent to.
 	Exclude []string
 	// RemoteCost is the time that a call to another data centre takes longer.
@@ -109,7 +109,7 @@
 // atLimit reports whether this node's calls at c have reached the limit for q, and c
 // has no idle slots to borrow.
 func atLimit(q *Query, c *Candidate) bool {
-	reach := q.Reach
+	reach := q.LimitFactor
 	if reach == 0 {
 		reach = 1
 	}
--- a/internal/scheduler/acquire.go
+++ b/internal/scheduler/acquire.go
@@ -118,7 +118,7 @@
 func (s *Scheduler) pick(p *pool, c *Call) int {
 	q := routing.Query{
 		Model: c.Model, Adapter: c.Adapter, DataCentre: s.cfg.DataCentre,
-		Prefix: c.Prefix, Exclude: c.Exclude, Reach: limitFactor[c.Class],
+		Prefix: c.Prefix, Exclude: c.Exclude, LimitFactor: limitFactor[c.Class],
 		RemoteCost: s.cfg.RemoteCost, PrefixGain: s.cfg.PrefixGain,
 	}
 	if i := routing.Pick(&q, p.candidates, s.rng); i >= 0 || len(c.Exclude) == 0 {
@@ -136,7 +136,7 @@
 	t := p.targets[i]
 	t.inFlight++
 	t.breaker.Start()
-	t.ready.Begin(now)
+	t.ready.CallStarted(now)
 	p.candidates[i].Sent = t.inFlight
 	p.candidates[i].Down = t.down(now)
 	return &Lease{Target: p.candidates[i].Target, s: s, p: p, t: t, stage: c.Stage, model: c.Model, start: now}
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -40,10 +40,10 @@
 	return out
 }
 
-// Report records a target's load report: calls is the number of its running and
+// RecordLoad records a target's load report: calls is the number of its running and
 // waiting calls, and sentAt the number of this node's calls in flight there when the
 // report was taken.
-func (s *Scheduler) Report(poolName, id string, calls, sentAt int) {
+func (s *Scheduler) RecordLoad(poolName, id string, calls, sentAt int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.pool(poolName)
@@ -55,8 +55,8 @@
 	}
 }
 
-// Sent returns the number of this node's calls in flight at a target.
-func (s *Scheduler) Sent(poolName, id string) int {
+// InFlight returns the number of this node's calls in flight at a target.
+func (s *Scheduler) InFlight(poolName, id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, t := range s.pool(poolName).targets {
@@ -101,10 +101,10 @@
 	Pool, Stage string
 }
 
-// Remaining estimates the time that the stages need from now on: for each stage the
+// EstimateRemaining estimates the time that the stages need from now on: for each stage the
 // wait in its pool's queue plus the mean service time, 0 before the first sample.
 // queueWait is the part of total that is spent in queues.
-func (s *Scheduler) Remaining(stages []StageDemand, class catalog.Class) (total, queueWait time.Duration) {
+func (s *Scheduler) EstimateRemaining(stages []StageDemand, class catalog.Class) (total, queueWait time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, d := range stages {
--- a/internal/scheduler/lease.go
+++ b/internal/scheduler/lease.go
@@ -23,11 +23,11 @@
 	once  sync.Once
 }
 
-// Heard records the readiness notice that the target sent when it refused the call.
-func (l *Lease) Heard(n readiness.Notice) {
+// UpdateReadiness records the readiness notice that the target sent when it refused the call.
+func (l *Lease) UpdateReadiness(n readiness.Notice) {
 	l.s.mu.Lock()
 	defer l.s.mu.Unlock()
-	l.t.ready.Hear(n, true, time.Now())
+	l.t.ready.Update(n, true, time.Now())
 }
 
 // Release returns the slot and records how the call ended. Only the first Release
@@ -45,13 +45,13 @@
 	t.inFlight--
 	l.p.callEnded(l.model)
 	if o == Succeeded {
-		t.ready.Took(l.start)
+		t.ready.Accepted(l.start)
 	}
-	t.ready.Lost(l.start)
+	t.ready.Unanswered(l.start)
 	switch o {
 	case Succeeded:
 		t.breaker.Success()
-		t.limit.Done(took, now)
+		t.limit.RecordLatency(took, now)
 		t.service.Add(took)
 		l.s.observeStage(l.stage, took)
 	case Refused:
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -104,7 +104,7 @@
 // down reports whether a target gets no call now, because its breaker is open, it
 // requested a pause, or the trial call after that pause is in flight.
 func (t *target) down(now time.Time) bool {
-	return t.breaker.Down(now) || t.ready.Standing(now) == readiness.Resting
+	return t.breaker.Down(now) || t.ready.Status(now) == readiness.Resting
 }
 
 // anyFree reports whether any target is available for a call of the urgent class,
@@ -112,7 +112,7 @@
 func (p *pool) anyFree() bool {
 	for i := range p.candidates {
 		c := &p.candidates[i]
-		if routing.Filter(&routing.Query{Reach: limitFactor[catalog.Urgent]}, c) == routing.Eligible {
+		if routing.Filter(&routing.Query{LimitFactor: limitFactor[catalog.Urgent]}, c) == routing.Eligible {
 			return true
 		}
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -146,9 +146,9 @@
 	}
 }
 
-// Retry reports whether the retry budget of a pool allows one more attempt,
+// TakeRetry reports whether the retry budget of a pool allows one more attempt,
 // and if so uses up one retry.
-func (s *Scheduler) Retry(poolName string) bool {
+func (s *Scheduler) TakeRetry(poolName string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.pool(poolName).budget.Take()
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -185,7 +185,7 @@
 		s := newScheduler(host("t1", 4))
 		l, err := s.Acquire(t.Context(), call(time.Second))
 		c.Assert(err, qt.IsNil)
-		l.Heard(readiness.Notice{Rest: 3 * time.Second})
+		l.UpdateReadiness(readiness.Notice{Rest: 3 * time.Second})
 		l.Release(Refused)
 		start := time.Now()
 		_, err = s.Acquire(t.Context(), call(2*time.Second))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -138,8 +138,8 @@
 	Service  PoolKind = "service"
 )
 
-// Kinds lists all kinds.
-var Kinds = []PoolKind{Encode, Retrieve, Rerank, Generate, Service}
+// PoolKinds lists all kinds.
+var PoolKinds = []PoolKind{Encode, Retrieve, Rerank, Generate, Service}
 
 // Pool describes a pool of targets. Its members come from the host list.
 type Pool struct {
@@ -317,7 +317,7 @@
 	for i, pool := range s.Pools {
 		path := index("pools", i)
 		required(p, path+".name", pool.Name)
-		if !slices.Contains(Kinds, pool.Kind) {
+		if !slices.Contains(PoolKinds, pool.Kind) {
 			p.Add(path+".kind", "%q is not a kind: write one of encode, retrieve, rerank, generate, service", pool.Kind)
 		}
 		if seen[pool.Name] {
--- a/internal/sharedrate/broker.go
+++ b/internal/sharedrate/broker.go
@@ -34,7 +34,7 @@
 type Broker struct {
 	self    Node
 	granter *Granter
-	owners  *Owners
+	owners  *GranterOrder
 	caches  map[string]*permitCache
 	peers   map[string]*peerHealth
 	swept   time.Time
@@ -48,9 +48,9 @@
 type Counts struct {
 	// Taken counts the permits that requests of this node got, Denied the requests that got none.
 	Taken, Denied float64
-	// Granted counts the permits that this node granted, Asked the permit requests that it
+	// ApplyGrant counts the permits that this node granted, Asked the permit requests that it
 	// answered.
-	Granted, Asked float64
+	Granted, RequestsAnswered float64
 }
 
 // peerHealth records whether another node answers.
@@ -70,7 +70,7 @@
 		random = rand.Float64
 	}
 	return &Broker{
-		self: self, granter: NewGranter(random), owners: NewOwners(self, now),
+		self: self, granter: NewGranter(random), owners: NewGranterOrder(self, now),
 		caches: make(map[string]*permitCache), peers: make(map[string]*peerHealth), swept: now,
 	}
 }
@@ -81,8 +81,8 @@
 	b.known = true
 }
 
-// Clear drops all unused permits of this node.
-func (b *Broker) Clear() {
+// DropPermits drops all unused permits of this node.
+func (b *Broker) DropPermits() {
 	for _, h := range b.caches {
 		h.permits, h.retryAt = nil, time.Time{}
 	}
@@ -106,23 +106,23 @@
 	return p, ok
 }
 
-// Opens returns the earliest time at which to ask for permits of the rate again.
-func (b *Broker) Opens(key string) time.Time { return b.permitCache(key).retryAt }
+// RetryAfter returns the earliest time at which to ask for permits of the rate again.
+func (b *Broker) RetryAt(key string) time.Time { return b.permitCache(key).retryAt }
 
 // GiveBack returns an unused permit to the cache.
 func (b *Broker) GiveBack(key string, p Permit, now time.Time) { b.permitCache(key).giveBack(p, now) }
 
-// Ask builds the permit request for waiting requests, the last of which gives up at latest.
-func (b *Broker) Ask(rate Rate, waiting int, latest, now time.Time) Ask {
-	return Ask{
+// PermitRequest builds the permit request for waiting requests, the last of which gives up at latest.
+func (b *Broker) PermitRequest(rate Rate, waiting int, latest, now time.Time) PermitRequest {
+	return PermitRequest{
 		Key: rate.Key, Asker: b.self.Name, PerSecond: rate.PerSecond, Heard: now.Sub(rate.Heard),
 		Want: b.permitCache(rate.Key).want(waiting, now), Within: max(latest.Sub(now), 0),
 	}
 }
 
-// Whom returns the node to ask for permits of the rate: the first in the order that did not fail to
+// GranterFor returns the node to ask for permits of the rate: the first in the order that did not fail to
 // answer within the last skipTime. ok is false if there is none.
-func (b *Broker) Whom(key string, now time.Time) (n Node, ok bool) {
+func (b *Broker) GranterFor(key string, now time.Time) (n Node, ok bool) {
 	if !b.known {
 		return Node{}, false
 	}
@@ -132,11 +132,11 @@
 	})
 }
 
-// Granted applies the response to a permit request of this node; a nil g means that no granter
+// ApplyGrant applies the response to a permit request of this node; a nil g means that no granter
 // answered.
-func (b *Broker) Granted(key string, g *Grant, now time.Time) {
+func (b *Broker) ApplyGrant(key string, g *Grant, now time.Time) {
 	if g == nil {
-		g = &Grant{Opens: retryNoGranter}
+		g = &Grant{RetryAfter: retryNoGranter}
 	}
 	b.permitCache(key).add(*g, now)
 }
@@ -145,8 +145,8 @@
 // a failure of the other node.
 var ErrNotReady = errors.New("sharedrate: other nodes cannot be asked yet")
 
-// Answered records the outcome of a permit request to another node.
-func (b *Broker) Answered(name string, err error, now time.Time) {
+// RecordAnswer records the outcome of a permit request to another node.
+func (b *Broker) RecordAnswer(name string, err error, now time.Time) {
 	s := b.peerHealth(name)
 	b.reachability.answered(name, err == nil)
 	switch {
@@ -178,7 +178,7 @@
 // Grant answers a permit request of another node or of this one. The caller must send an empty
 // request to each node of toCheck and report the outcome to Answered: these are the nodes that come
 // before this one in the order of the rate, and a sample of all nodes.
-func (b *Broker) Grant(a Ask, now time.Time) (g Grant, toCheck []Node) {
+func (b *Broker) Grant(a PermitRequest, now time.Time) (g Grant, toCheck []Node) {
 	if a.Key == "" {
 		return Grant{}, nil
 	}
@@ -191,7 +191,7 @@
 		toCheck = append(b.toCheck(predecessors, now), b.reachability.toCheck(b.owners.nodes, b.self.Name, every, now)...)
 	}
 	g = b.granter.Grant(a, b.share(a.Key, place, len(predecessors), now), now)
-	b.counts.Asked++
+	b.counts.RequestsAnswered++
 	b.counts.Granted += float64(g.Permits)
 	return g, toCheck
 }
--- a/internal/sharedrate/broker_test.go
+++ b/internal/sharedrate/broker_test.go
@@ -13,7 +13,7 @@
 func grantCount(b *Broker, from, to time.Duration) int {
 	n := 0
 	for at := from; at < to; at += 10 * time.Millisecond {
-		g, _ := b.Grant(Ask{Key: "k", Asker: "other", PerSecond: 20, Want: 1}, began.Add(at))
+		g, _ := b.Grant(PermitRequest{Key: "k", Asker: "other", PerSecond: 20, Want: 1}, began.Add(at))
 		n += g.Permits
 	}
 	return n
@@ -28,7 +28,7 @@
 	c.Check(grantCount(b, 0, 2900*time.Millisecond) <= 13, qt.IsTrue)
 	c.Check(grantCount(b, 3*time.Second, 5*time.Second) >= 36, qt.IsTrue)
 
-	o := NewOwners(Node{Name: "n0"}, began)
+	o := NewGranterOrder(Node{Name: "n0"}, began)
 	at := began.Add(time.Minute)
 	o.Set([]Node{{Name: "n1"}, {Name: "n2"}, {Name: "n3"}}, at)
 	after := at.Add(time.Minute)
--- a/internal/sharedrate/granter.go
+++ b/internal/sharedrate/granter.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Ask is a request for permits of one rate.
-type Ask struct {
+// PermitRequest is a request for permits of one rate.
+type PermitRequest struct {
 	// Key names the rate. An Ask with an empty key only checks whether the granter answers.
 	Key string
 	// Asker is the name of the requesting node.
@@ -27,11 +27,11 @@
 	// Permits is the number of granted permits. The first is for a slot that opens after In, each
 	// further one for a slot that opens Spacing after the previous one. In may be negative: a slot
 	// that has passed may be used at once.
-	Permits     int
-	In, Spacing time.Duration
-	// Opens is how long to wait before the next request, where fewer permits were granted than
+	Permits          int
+	FirstIn, Spacing time.Duration
+	// RetryAfter is how long to wait before the next request, where fewer permits were granted than
 	// wanted.
-	Opens time.Duration
+	RetryAfter time.Duration
 	// Ended reports that the limit has ended; Heard is the time since a node observed this.
 	Ended bool
 	Heard time.Duration
@@ -40,9 +40,9 @@
 // The bound that all constants here keep: in any period of length Span, all nodes together send a
 // target at most Excess times its rate times Span, plus Fixed requests.
 const (
-	Span   = 4 * time.Second
-	Excess = 1.5
-	Fixed  = 5
+	BoundWindow = 4 * time.Second
+	BoundFactor = 1.5
+	BoundBurst  = 5
 )
 
 const (
@@ -113,7 +113,7 @@
 }
 
 // Grant answers a permit request, as a granter that gives out this share of the rate.
-func (g *Granter) Grant(a Ask, share float64, now time.Time) Grant {
+func (g *Granter) Grant(a PermitRequest, share float64, now time.Time) Grant {
 	r := g.rates[a.Key]
 	if r == nil {
 		r = &rateState{nextSlot: now, countedSince: now}
@@ -127,7 +127,7 @@
 		return Grant{}
 	}
 	if share == 0 {
-		return Grant{Opens: horizon}
+		return Grant{RetryAfter: horizon}
 	}
 	return r.allocate(a, share, g.Rand(), now)
 }
@@ -147,7 +147,7 @@
 
 // observe applies the limit that the requesting node observed, if it is newer, and reports whether
 // the limit has ended for that node.
-func (r *rateState) observe(a Ask, now time.Time) (ended bool) {
+func (r *rateState) observe(a PermitRequest, now time.Time) (ended bool) {
 	confirmedAt := now.Add(-a.Heard)
 	if a.Ended {
 		if confirmedAt.After(r.confirmedAt) {
@@ -166,7 +166,7 @@
 }
 
 // allocate grants the slots that the requesting node can use.
-func (r *rateState) allocate(a Ask, share, random float64, now time.Time) Grant {
+func (r *rateState) allocate(a PermitRequest, share, random float64, now time.Time) Grant {
 	perSecond := max(r.perSecond, minPerSecond) * share
 	spacing := interval(perSecond)
 	r.countRequest(spacing, now)
@@ -176,13 +176,13 @@
 	}
 	r.nextSlot = clampTime(r.nextSlot, now.Add(-scale(spacing, caughtUp)), now.Add(horizon+spacing))
 	within := min(max(a.Within, 0), horizon)
-	out := Grant{In: r.nextSlot.Sub(now), Spacing: spacing}
+	out := Grant{FirstIn: r.nextSlot.Sub(now), Spacing: spacing}
 	for out.Permits < min(a.Want, maxPermits) && r.nextSlot.Sub(now) <= within {
 		out.Permits++
 		r.nextSlot = r.nextSlot.Add(spacing)
 	}
 	if out.Permits < a.Want {
-		out.Opens = max(r.nextSlot.Sub(now), 0) + scale(r.retrySpread, random)
+		out.RetryAfter = max(r.nextSlot.Sub(now), 0) + scale(r.retrySpread, random)
 	}
 	return out
 }
--- a/internal/sharedrate/holder.go
+++ b/internal/sharedrate/holder.go
@@ -64,10 +64,10 @@
 // add adds the permits of a grant received at now.
 func (h *permitCache) add(g Grant, now time.Time) {
 	for i := range g.Permits {
-		from := now.Add(max(g.In+time.Duration(i)*g.Spacing, 0))
+		from := now.Add(max(g.FirstIn+time.Duration(i)*g.Spacing, 0))
 		h.permits = append(h.permits, Permit{From: from, Until: from.Add(permitTTL)})
 	}
-	h.retryAt = now.Add(g.Opens)
+	h.retryAt = now.Add(g.RetryAfter)
 }
 
 // giveBack returns an unused permit, unless it has expired.
--- a/internal/sharedrate/limiter.go
+++ b/internal/sharedrate/limiter.go
@@ -21,11 +21,11 @@
 
 // Denied is the error of a request that gets no permit in time.
 type Denied struct {
-	// Opens is the earliest time at which to ask again.
-	Opens time.Time
+	// RetryAfter is the earliest time at which to ask again.
+	RetryAt time.Time
 	// Ended reports that the limit has ended, which another node observed at HeardAt.
 	Ended   bool
-	HeardAt time.Time
+	EndedAt time.Time
 	// Granter is the name of the node that was asked; empty if none could be.
 	Granter string
 }
@@ -35,16 +35,16 @@
 	if d.Ended {
 		return "sharedrate: the limit has ended, reported by " + d.Granter
 	}
-	return fmt.Sprintf("sharedrate: no permit for %v, granter %q", time.Until(d.Opens).Round(time.Millisecond), d.Granter)
+	return fmt.Sprintf("sharedrate: no permit for %v, granter %q", time.Until(d.RetryAt).Round(time.Millisecond), d.Granter)
 }
 
 // Config configures a Limiter.
 type Config struct {
 	Self Node
-	// Ask sends a permit request to the node at addr. Its error is ErrNotReady where this node
+	// PermitRequest sends a permit request to the node at addr. Its error is ErrNotReady where this node
 	// cannot send yet.
-	Ask func(ctx context.Context, addr string, a Ask) (Grant, error)
-	Log *slog.Logger
+	PermitRequest func(ctx context.Context, addr string, a PermitRequest) (Grant, error)
+	Log           *slog.Logger
 }
 
 // maxGranters bounds the nodes that are asked for one permit.
@@ -88,12 +88,12 @@
 	l.broker.SetNodes(others, time.Now())
 }
 
-// Clear drops all unused permits. It is called after the host was suspended, as its clock stood
+// DropPermits drops all unused permits. It is called after the host was suspended, as its clock stood
 // still meanwhile.
-func (l *Limiter) Clear() {
+func (l *Limiter) DropPermits() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.broker.Clear()
+	l.broker.DropPermits()
 }
 
 // Counts returns the totals so far.
@@ -155,9 +155,9 @@
 		if p, ok := l.broker.Take(rate.Key, latest, now); ok {
 			return nil, p, nil
 		}
-		if opens := l.broker.Opens(rate.Key); now.Before(opens) && latest.Before(opens) {
+		if opens := l.broker.RetryAt(rate.Key); now.Before(opens) && latest.Before(opens) {
 			l.broker.counts.Denied++
-			return nil, Permit{}, &Denied{Opens: opens}
+			return nil, Permit{}, &Denied{RetryAt: opens}
 		}
 		q = &queue{}
 		l.queues[rate.Key] = q
@@ -214,12 +214,12 @@
 
 // nextRequest returns the permit request to send and the requests that it is for. If none wait, it
 // removes the queue.
-func (l *Limiter) nextRequest(key string, q *queue) (asked []*waiter, ask Ask) {
+func (l *Limiter) nextRequest(key string, q *queue) (asked []*waiter, ask PermitRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(q.waiting) == 0 {
 		delete(l.queues, key)
-		return nil, Ask{}
+		return nil, PermitRequest{}
 	}
 	var latest time.Time
 	for _, w := range q.waiting {
@@ -227,7 +227,7 @@
 			latest = w.latest
 		}
 	}
-	return slices.Clone(q.waiting), l.broker.Ask(q.rate, len(q.waiting), latest, time.Now())
+	return slices.Clone(q.waiting), l.broker.PermitRequest(q.rate, len(q.waiting), latest, time.Now())
 }
 
 // distribute gives the available permits to the waiting requests, and denies those requests that
@@ -236,10 +236,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	l.broker.Granted(key, grant, now)
-	denied := &Denied{Opens: l.broker.Opens(key), Granter: granter}
+	l.broker.ApplyGrant(key, grant, now)
+	denied := &Denied{RetryAt: l.broker.RetryAt(key), Granter: granter}
 	if grant != nil && grant.Ended {
-		denied.Ended, denied.HeardAt = true, now.Add(-grant.Heard)
+		denied.Ended, denied.EndedAt = true, now.Add(-grant.Heard)
 	}
 	var remaining []*waiter
 	for _, w := range q.waiting {
@@ -261,10 +261,10 @@
 
 // askGranter asks up to maxGranters nodes for permits, in their order, until one answers; if this
 // node is next, it grants itself. The grant is nil if no node answers.
-func (l *Limiter) askGranter(a Ask) (granter string, g *Grant, err error) {
+func (l *Limiter) askGranter(a PermitRequest) (granter string, g *Grant, err error) {
 	for range maxGranters {
 		l.mu.Lock()
-		n, ok := l.broker.Whom(a.Key, time.Now())
+		n, ok := l.broker.GranterFor(a.Key, time.Now())
 		l.mu.Unlock()
 		switch {
 		case !ok:
@@ -284,25 +284,25 @@
 }
 
 // askNode asks another node and records whether it answered.
-func (l *Limiter) askNode(n Node, a Ask) (Grant, error) {
+func (l *Limiter) askNode(n Node, a PermitRequest) (Grant, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 	defer cancel()
-	g, err := l.cfg.Ask(ctx, n.Addr, a)
+	g, err := l.cfg.PermitRequest(ctx, n.Addr, a)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.broker.Answered(n.Name, err, time.Now())
+	l.broker.RecordAnswer(n.Name, err, time.Now())
 	return g, err
 }
 
 // Grant answers a permit request of another node or of this one, and starts the checks of other
 // nodes that are due.
-func (l *Limiter) Grant(a Ask) Grant {
+func (l *Limiter) Grant(a PermitRequest) Grant {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	g, toCheck := l.broker.Grant(a, time.Now())
 	for _, n := range toCheck {
 		go func() {
-			if _, err := l.askNode(n, Ask{}); err != nil {
+			if _, err := l.askNode(n, PermitRequest{}); err != nil {
 				l.cfg.Log.Debug("check of another granter failed", "peer", n.Name, "err", err)
 			}
 		}()
@@ -314,7 +314,7 @@
 // the limit at heard, and drops this node's permits of the rate.
 func (l *Limiter) Ended(key string, heard time.Time) {
 	go func() {
-		if _, _, err := l.askGranter(Ask{Key: key, Asker: l.cfg.Self.Name, Ended: true, Heard: time.Since(heard)}); err != nil {
+		if _, _, err := l.askGranter(PermitRequest{Key: key, Asker: l.cfg.Self.Name, Ended: true, Heard: time.Since(heard)}); err != nil {
 			// The other nodes observe the end in answers of the target to their own requests.
 			l.cfg.Log.Debug("report of an ended limit failed", "key", key, "err", err)
 		}
