--- a/internal/sharedrate/owners.go
+++ b/internal/sharedrate/owners.go
@@ -15,9 +15,9 @@
 // ended granter may still be used. Its successor grants a smaller share meanwhile.
 const settlingTime = 3 * time.Second
 
-// Owners determines which nodes grant a rate: the first ones in the order of rendezvous hashing. It
+// GranterOrder determines which nodes grant a rate: the first ones in the order of rendezvous hashing. It
 // must not be used concurrently.
-type Owners struct {
+type GranterOrder struct {
 	self  string
 	nodes []hashedNode
 	// previous are the replaced sets of nodes of the last settlingTime, oldest first, with the time
@@ -37,15 +37,15 @@
 	until time.Time
 }
 
-// NewOwners returns the Owners of a process that starts at now and knows no other node yet.
-func NewOwners(self Node, now time.Time) *Owners {
-	o := &Owners{self: self.Name, startedAt: now}
+// NewGranterOrder returns the Owners of a process that starts at now and knows no other node yet.
+func NewGranterOrder(self Node, now time.Time) *GranterOrder {
+	o := &GranterOrder{self: self.Name, startedAt: now}
 	o.nodes = []hashedNode{{self, xxhash.Sum64String(self.Name)}}
 	return o
 }
 
 // Set replaces the set of other nodes.
-func (o *Owners) Set(others []Node, now time.Time) {
+func (o *GranterOrder) Set(others []Node, now time.Time) {
 	nodes := []hashedNode{}
 	for _, n := range o.nodes {
 		if n.Name == o.self {
@@ -80,18 +80,18 @@
 	return true
 }
 
-func (o *Owners) dropExpired(now time.Time) {
+func (o *GranterOrder) dropExpired(now time.Time) {
 	for len(o.previous) > 0 && now.Sub(o.previous[0].until) >= settlingTime {
 		o.previous = o.previous[1:]
 	}
 }
 
 // Count returns the number of nodes, this one included.
-func (o *Owners) Count() int { return len(o.nodes) }
+func (o *GranterOrder) Count() int { return len(o.nodes) }
 
 // First returns the node to ask for permits of the rate: the first in the order that passOver does
 // not exclude.
-func (o *Owners) First(key string, passOver func(name string) bool) (Node, bool) {
+func (o *GranterOrder) First(key string, passOver func(name string) bool) (Node, bool) {
 	n, ok := first(o.nodes, key, passOver)
 	return n.Node, ok
 }
@@ -112,7 +112,7 @@
 // Place returns this node's place among the granters of the rate, starting at 0, and all nodes
 // before it in the order. Nodes for which gone is true are among them, but do not count for the
 // place.
-func (o *Owners) Place(key string, gone func(name string) bool) (place int, before []Node) {
+func (o *GranterOrder) Place(key string, gone func(name string) bool) (place int, before []Node) {
 	k := xxhash.Sum64String(key)
 	own := uint64(0)
 	for _, n := range o.nodes {
@@ -134,7 +134,7 @@
 
 // Settling reports whether another node, or an earlier process of this one, may have been the first
 // granter of the rate less than settlingTime ago.
-func (o *Owners) Settling(key string, now time.Time) bool {
+func (o *GranterOrder) Settling(key string, now time.Time) bool {
 	if now.Sub(o.startedAt) < settlingTime {
 		return true
 	}
--- a/internal/stagebatch/bench_test.go
+++ b/internal/stagebatch/bench_test.go
@@ -36,7 +36,7 @@
 			pl := placement{dataCentre: "dc", working: map[string]bool{"dc": true}}
 			b.ReportAllocs()
 			for b.Loop() {
-				batch, rest := take(queue, spec, spec.RoomBytes, now, pl)
+				batch, rest := take(queue, spec, spec.ResultSpace, now, pl)
 				queue = append(rest, batch...)
 			}
 		})
@@ -52,7 +52,7 @@
 			for i := range n {
 				all = append(all, targets.Target{ID: fmt.Sprint("t", i), Service: "pool", Addr: fmt.Sprint("a:", i+1), DataCentre: "dc", Slots: 1})
 			}
-			list.Update(all, time.Time{})
+			list.Replace(all, time.Time{})
 			f := NewFormer(blockedWorker{}, list, poolSpec, discardLog)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
--- a/internal/stagebatch/burst_test.go
+++ b/internal/stagebatch/burst_test.go
@@ -33,11 +33,11 @@
 // Free implements Worker.
 func (healthyTargets) Free(context.Context, string, []string) error { return nil }
 
-// Room implements Worker.
-func (s healthyTargets) Room(context.Context, string) (int64, error) { return s.spec.RoomBytes, nil }
+// Space implements Worker.
+func (s healthyTargets) Space(context.Context, string) (int64, error) { return s.spec.ResultSpace, nil }
 
-// Maker implements Worker.
-func (healthyTargets) Maker(handle string) string { return handle }
+// HolderAddr implements Worker.
+func (healthyTargets) HolderAddr(handle string) string { return handle }
 
 // orderKind is one kind of order in a burst.
 type orderKind struct {
@@ -56,13 +56,13 @@
 // 2.6 times its rate for 5.4 s. An order has six pieces and is due within 2.4 s. The pool
 // produces 1,620 pieces a second, and 2,480 are ordered.
 func playBurst(t testing.TB, off mechanism.Set) (urgent, other *orderKind) {
-	spec := &routes.Batch{Slots: 1, Queue: 2, Items: 50, CallTime: 200 * time.Millisecond, ItemTime: 3400 * time.Microsecond, RoomBytes: 1 << 30, Keep: 4 * time.Second}
+	spec := &routes.Batch{Slots: 1, Queue: 2, Items: 50, CallTime: 200 * time.Millisecond, ItemTime: 3400 * time.Microsecond, ResultSpace: 1 << 30, Keep: 4 * time.Second}
 	list := targets.New("dc")
 	var all []targets.Target
 	for i := range 12 {
 		all = append(all, targets.Target{ID: fmt.Sprint("t", i), Service: "pool", Addr: fmt.Sprint("t", i), DataCentre: "dc", Slots: 1})
 	}
-	list.Update(all, time.Time{})
+	list.Replace(all, time.Time{})
 	f := NewFormer(healthyTargets{spec}, list, func(string) *routes.Batch { return spec }, discardLog)
 	f.Off = off
 	urgent = &orderKind{rank: 4, perSecond: 143 * 2.6, deadline: 6 * time.Second}
--- a/internal/stagebatch/calls.go
+++ b/internal/stagebatch/calls.go
@@ -67,8 +67,8 @@
 	m.calls++
 	m.lastCall, m.callBytes = now, 0
 	f.pools[service].versionSplit.recordCall(m.Version, len(batch), max(spec.Items, 1))
-	f.list.StageCalled(m.Target)
-	c := &call{service: service, m: m, target: m.Target, spec: spec, batch: batch, started: now, began: f.list.Began(m.Process()), permit: m.takePermit(), healthy: expected(spec, len(batch))}
+	f.list.RecordStageCallStart(m.Target)
+	c := &call{service: service, m: m, target: m.Target, spec: spec, batch: batch, started: now, began: f.list.BeginCall(m.Process()), permit: m.takePermit(), healthy: expected(spec, len(batch))}
 	c.expected = times(c.healthy, slower)
 	items := make([]Item, len(batch))
 	for i, p := range batch {
@@ -115,7 +115,7 @@
 		o := p.order
 		if reported[o.Digest] == nil {
 			reported[o.Digest] = f.Guard.Ended(poison.Run{
-				Digest: o.Digest, Began: c.started, Process: target.Process(), Addr: target.Addr, Probe: o.Probe, GoesOn: true,
+				Digest: o.Digest, Began: c.started, Process: target.Process(), Addr: target.Addr, Probe: o.Probe, ProbeContinues: true,
 			})
 		}
 	}
@@ -212,7 +212,7 @@
 	c.ended, c.failed = true, err != nil
 	c.m.calls--
 	now := time.Now()
-	f.list.StageEnded(c.target, outcomeOf(reply, err), times(c.spec.CallTime, float64(now.Sub(c.started))/float64(c.healthy)))
+	f.list.RecordStageCallEnd(c.target, outcomeOf(reply, err), times(c.spec.CallTime, float64(now.Sub(c.started))/float64(c.healthy)))
 	if err != nil {
 		f.failed(c, err, now)
 	} else {
@@ -228,7 +228,7 @@
 		}
 		p := f.pool(c.service)
 		p.recordProduced(len(c.batch), len(p.queue), now)
-		if reply.Others > 0 {
+		if reply.OtherCalls > 0 {
 			f.pool(c.service).sharedUntil = now.Add(sharedLife)
 		}
 		f.applyResults(c, reply.Results, now)
@@ -265,21 +265,21 @@
 	if errors.As(err, &ce) {
 		a.Rejected = ce.NotRun && !ce.Moved
 		if ce.Unreachable || ce.Withheld || !ce.NotRun {
-			f.list.EndedUnheard(target.Process(), c.began)
+			f.list.EndCallWithoutAnswer(target.Process(), c.began)
 		}
 	}
-	switch f.list.Heard(target.Process(), a) {
-	case readiness.BeganToLeave:
-		f.log.Info("target announces its shutdown", "target", target.ID, "addr", target.Addr, "service", c.service)
-	case readiness.BeganToRest:
-		f.log.Info("target requests a pause", "target", target.ID, "addr", target.Addr, "service", c.service, "rest_ms", a.Notice.Rest.Milliseconds())
+	switch f.list.UpdateReadiness(target.Process(), a) {
+	case readiness.StartedLeaving:
+		f.log.Info("target announced that it is leaving", "target", target.ID, "addr", target.Addr, "service", c.service)
+	case readiness.StartedResting:
+		f.log.Info("target announced a pause", "target", target.ID, "addr", target.Addr, "service", c.service, "rest_ms", a.Notice.Rest.Milliseconds())
 	case readiness.Unchanged:
 	}
-	f.list.HeardLimit(target.Process(), limitOf(reply, err), c.began)
+	f.list.UpdateLimit(target.Process(), limitOf(reply, err), c.began)
 }
 
 // limitOf returns the rate limit that the target reported with the outcome of a call.
-func limitOf(reply Reply, err error) sharedrate.Word {
+func limitOf(reply Reply, err error) sharedrate.AdvertisedLimit {
 	var ce *CallError
 	if errors.As(err, &ce) {
 		return ce.Limit
@@ -317,7 +317,7 @@
 			o.finish(ErrLate)
 		case InputGone:
 			o.finish(ErrInputGone)
-		case NoRoom:
+		case NoSpace:
 			full = true
 			p.attempts--
 		case ItemFailed:
--- a/internal/stagebatch/estimate_test.go
+++ b/internal/stagebatch/estimate_test.go
@@ -113,14 +113,14 @@
 				queue = append(queue, &piece{order: o, index: n, queued: true})
 			}
 		}
-		batch, rest := take(queue, spec, spec.RoomBytes, time.Now(), pl)
+		batch, rest := take(queue, spec, spec.ResultSpace, time.Now(), pl)
 		c.Assert(batch, qt.HasLen, 8)
 		for _, p := range batch {
 			c.Assert(p.order.DataCentre, qt.Equals, "here")
 		}
 		// Urgency has precedence over the preferred data centre.
 		rest[len(rest)-1].order.Priority = -1
-		batch, _ = take(rest, spec, spec.RoomBytes, time.Now(), pl)
+		batch, _ = take(rest, spec, spec.ResultSpace, time.Now(), pl)
 		c.Assert(batch[0].order.DataCentre, qt.Equals, "there")
 	})
 }
@@ -128,7 +128,7 @@
 // Arrived pieces are counted once, however often the estimates are computed.
 func TestPiecesAreCountedOnceInEstimates(t *testing.T) {
 	c := qt.New(t)
-	spec := &routes.Batch{Slots: 1, Items: 8, CallTime: 200 * time.Millisecond, ItemTime: 20 * time.Millisecond, RoomBytes: 1 << 30}
+	spec := &routes.Batch{Slots: 1, Items: 8, CallTime: 200 * time.Millisecond, ItemTime: 20 * time.Millisecond, ResultSpace: 1 << 30}
 	start := time.Date(2026, 3, 5, 0, 0, 0, 0, time.UTC)
 	counted := func(lookAgain bool) Waits {
 		p := &pool{states: map[string]*targetState{"a": {}}, traffic: traffic{busySince: start}}
--- a/internal/stagebatch/former.go
+++ b/internal/stagebatch/former.go
@@ -132,10 +132,10 @@
 	f.release(service, handles)
 }
 
-// FreeIfTight releases results that were read if their target is nearly full. The stage that
+// FreeIfNearlyFull releases results that were read if their target is nearly full. The stage that
 // read them has not ended: if it fails, its piece is produced again from the same results, and
 // if these are gone all stages of the request must run again.
-func (f *Former) FreeIfTight(service string, handles []string) {
+func (f *Former) FreeIfNearlyFull(service string, handles []string) {
 	spec := f.spec(service)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -221,8 +221,8 @@
 // updateTarget updates the state of one target from the target list. The lock is held.
 func (f *Former) updateTarget(m *targetState, t targets.Target) {
 	m.Target = t
-	m.standing, m.opens = f.list.Standing(t.Process())
-	m.perSecond, m.bounded = f.list.Bounded(t.Process())
+	m.standing, m.opens = f.list.Status(t.Process())
+	m.perSecond, m.bounded = f.list.RateBound(t.Process())
 }
 
 // pump starts calls at all free targets. The lock is held.
--- a/internal/stagebatch/former_test.go
+++ b/internal/stagebatch/former_test.go
@@ -58,7 +58,7 @@
 		p.hosts[addr] = &fakeHost{factor: 1, space: 1 << 20, results: make(map[string]int64)}
 		all = append(all, targets.Target{ID: fmt.Sprint("t", i), Service: "pool", Addr: addr, DataCentre: "dc", Slots: 1})
 	}
-	list.Update(all, time.Time{})
+	list.Replace(all, time.Time{})
 	return p, list
 }
 
@@ -116,7 +116,7 @@
 		return Reply{}, &CallError{Cause: ctx.Err()}
 	case <-time.After(takes):
 	}
-	return Reply{Results: p.results(t.Addr, h, items), Others: h.others}, nil
+	return Reply{Results: p.results(t.Addr, h, items), OtherCalls: h.others}, nil
 }
 
 func (p *fakePool) results(addr string, h *fakeHost, items []Item) []ItemResult {
@@ -125,7 +125,7 @@
 	out := make([]ItemResult, len(items))
 	for i, it := range items {
 		if h.space < testResultBytes {
-			out[i].Reason = NoRoom
+			out[i].Reason = NoSpace
 			continue
 		}
 		id := fmt.Sprintf("%s/%d/%d", it.Request, it.Stage, it.Piece)
@@ -149,15 +149,15 @@
 	return nil
 }
 
-// Room implements Worker.
-func (p *fakePool) Room(_ context.Context, addr string) (int64, error) {
+// Space implements Worker.
+func (p *fakePool) Space(_ context.Context, addr string) (int64, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.hosts[addr].space, nil
 }
 
-// Maker implements Worker.
-func (p *fakePool) Maker(handle string) string {
+// HolderAddr implements Worker.
+func (p *fakePool) HolderAddr(handle string) string {
 	addr, _, _ := strings.Cut(handle, "/")
 	return addr
 }
@@ -252,7 +252,7 @@
 		_, err := f.Produce(ctx, orderDueIn("left", 3, 0, time.Second), nil)
 		c.Assert(errors.Is(err, context.DeadlineExceeded), qt.IsTrue)
 		time.Sleep(time.Second)
-		free, err := p.Room(t.Context(), "10.0.0.1:1")
+		free, err := p.Space(t.Context(), "10.0.0.1:1")
 		c.Assert(err, qt.IsNil)
 		c.Assert(free, qt.Equals, int64(1<<20))
 		_, err = f.Produce(t.Context(), orderDueIn("next", 1, 0, time.Second), nil)
@@ -282,7 +282,7 @@
 // poolInTwoDataCentres returns a pool with two targets in different data centres.
 func poolInTwoDataCentres() (*fakePool, *Former) {
 	p, list := newFakePool(2)
-	list.Update([]targets.Target{
+	list.Replace([]targets.Target{
 		{ID: "t0", Service: "pool", Addr: "10.0.0.1:1", DataCentre: "dc1", Slots: 1},
 		{ID: "t1", Service: "pool", Addr: "10.0.0.2:1", DataCentre: "dc2", Slots: 1},
 	}, time.Time{})
@@ -308,7 +308,7 @@
 				place := i/2%2 + 1
 				res, err := f.Produce(t.Context(), orderPreferring(fmt.Sprint("r", i), fmt.Sprint("dc", place), 1, 3*time.Second), nil)
 				c.Check(err, qt.IsNil)
-				c.Check(p.Maker(res.Handles[0]), qt.Equals, fmt.Sprintf("10.0.0.%d:1", place))
+				c.Check(p.HolderAddr(res.Handles[0]), qt.Equals, fmt.Sprintf("10.0.0.%d:1", place))
 			})
 		}
 		wg.Wait()
@@ -324,7 +324,7 @@
 		start := time.Now()
 		res, err := f.Produce(t.Context(), orderPreferring("urgent", "dc1", 1, 300*time.Millisecond), nil)
 		c.Assert(err, qt.IsNil)
-		c.Assert(p.Maker(res.Handles[0]), qt.Equals, "10.0.0.2:1")
+		c.Assert(p.HolderAddr(res.Handles[0]), qt.Equals, "10.0.0.2:1")
 		c.Assert(time.Since(start) < 300*time.Millisecond, qt.IsTrue)
 		time.Sleep(time.Second)
 	})
@@ -467,7 +467,7 @@
 	} {
 		o := &order{Order: Order{Pieces: 1, Due: now.Add(tc.due), Deadline: now.Add(tc.deadline)}, queuedAt: now}
 		pl := placement{slower: 3}
-		batch, rest := take([]*piece{{order: o, queued: true}}, spec, spec.RoomBytes, now, pl)
+		batch, rest := take([]*piece{{order: o, queued: true}}, spec, spec.ResultSpace, now, pl)
 		c.Assert(len(batch) == 1, qt.Equals, tc.taken, qt.Commentf("due in %v", tc.due))
 		c.Assert(len(batch)+len(rest), qt.Equals, 1)
 	}
--- a/internal/stagebatch/leaving_test.go
+++ b/internal/stagebatch/leaving_test.go
@@ -46,7 +46,7 @@
 		c.Assert(f.pools["pool"].states["t0"].results, qt.HasLen, 6)
 		again := list.Usable("pool")[0]
 		again.Born = 2000
-		list.Update([]targets.Target{again}, time.Time{})
+		list.Replace([]targets.Target{again}, time.Time{})
 		f.mu.Lock()
 		f.refresh(f.pools["pool"], "pool")
 		f.mu.Unlock()
@@ -73,7 +73,7 @@
 				defer p.mu.Unlock()
 				for _, target := range list.Usable("pool") {
 					if p.hosts[target.Addr].calls == 1 {
-						list.Heard(target.Process(), targets.Answer{Notice: n, Rejected: true, Began: time.Now()})
+						list.UpdateReadiness(target.Process(), targets.Answer{Notice: n, Rejected: true, Began: time.Now()})
 					}
 				}
 			}()
@@ -95,7 +95,7 @@
 		p, list := newFakePool(2)
 		f := NewFormer(p, list, poolSpec, discardLog)
 		for _, target := range list.Usable("pool") {
-			list.Heard(target.Process(), targets.Answer{Notice: readiness.Notice{Rest: 3 * time.Second}, Rejected: true, Began: time.Now()})
+			list.UpdateReadiness(target.Process(), targets.Answer{Notice: readiness.Notice{Rest: 3 * time.Second}, Rejected: true, Began: time.Now()})
 		}
 		var reported Waits
 		started := time.Now()
@@ -126,7 +126,7 @@
 			defer p.mu.Unlock()
 			return len(p.host(0).results)
 		}
-		list.Heard(list.Usable("pool")[0].Process(), targets.Answer{Notice: readiness.Notice{Rest: time.Second}, Rejected: true})
+		list.UpdateReadiness(list.Usable("pool")[0].Process(), targets.Answer{Notice: readiness.Notice{Rest: time.Second}, Rejected: true})
 		f.Free("pool", res.Handles)
 		time.Sleep(900 * time.Millisecond)
 		c.Assert(stored(), qt.Equals, 2)
@@ -148,7 +148,7 @@
 		time.Sleep(4 * time.Second)
 		cold := list.Usable("pool")[0]
 		cold.Warmup, cold.Revision = 10*time.Second, store.Version{Number: 2}
-		list.Update([]targets.Target{cold}, time.Time{})
+		list.Replace([]targets.Target{cold}, time.Time{})
 		f := NewFormer(p, list, poolSpec, discardLog)
 		for i := range 40 {
 			go func() { _, _ = f.Produce(t.Context(), orderDueIn(fmt.Sprint("r", i), 1, 0, 20*time.Second), nil) }()
--- a/internal/stagebatch/means.go
+++ b/internal/stagebatch/means.go
@@ -9,8 +9,8 @@
 	"topazmoor/internal/routing"
 )
 
-// Means is the capacity of a node for forming batches, as configured.
-type Means struct {
+// Capacity is the capacity of a node for forming batches, as configured.
+type Capacity struct {
 	// LinkBytes is the capacity of the network link in bytes per second; 0 for unknown.
 	LinkBytes float64 `json:"link_bytes,omitempty"`
 	// Processors is the number of processors that the node may use; 0 for unknown.
@@ -33,7 +33,7 @@
 )
 
 // ordersPerSecond returns the rate of orders that the node can handle; 0 for unknown.
-func (m Means) ordersPerSecond() float64 {
+func (m Capacity) ordersPerSecond() float64 {
 	link, processors := m.LinkBytes/orderBytes, m.Processors/orderSeconds
 	if link == 0 || processors == 0 {
 		return max(link, processors)
@@ -47,12 +47,12 @@
 func rankNodes(service string, nodes []Node) {
 	best := 0.0
 	for _, n := range nodes {
-		best = max(best, n.Means.ordersPerSecond())
+		best = max(best, n.Capacity.ordersPerSecond())
 	}
 	key := xxhash.Sum64String(service)
 	keys := make(map[string]rankKey, len(nodes))
 	for _, n := range nodes {
-		keys[n.Name] = rankKey{weak: n.Means.ordersPerSecond()*classRatio < best, hash: routing.Mix(key, xxhash.Sum64String(n.Name))}
+		keys[n.Name] = rankKey{weak: n.Capacity.ordersPerSecond()*classRatio < best, hash: routing.Mix(key, xxhash.Sum64String(n.Name))}
 	}
 	slices.SortFunc(nodes, func(a, b Node) int { return keys[a.Name].compare(keys[b.Name]) })
 }
--- a/internal/stagebatch/means_test.go
+++ b/internal/stagebatch/means_test.go
@@ -18,7 +18,7 @@
 	mu sync.Mutex
 	// free is when the link of a node becomes free, by address.
 	free  map[string]time.Time
-	means map[string]Means
+	means map[string]Capacity
 }
 
 // Produce implements Remote.
@@ -45,14 +45,14 @@
 
 // fleetOf returns large and small nodes, like the entry hosts of a site.
 func fleetOf(small, large int) (*linkedNodes, []Node) {
-	l := &linkedNodes{free: make(map[string]time.Time), means: make(map[string]Means)}
+	l := &linkedNodes{free: make(map[string]time.Time), means: make(map[string]Capacity)}
 	var nodes []Node
 	for i := range small + large {
-		m := Means{LinkBytes: 10e6 / 8, Processors: 0.192}
+		m := Capacity{LinkBytes: 10e6 / 8, Processors: 0.192}
 		if i < large {
-			m = Means{LinkBytes: 200e6 / 8, Processors: 0.8}
+			m = Capacity{LinkBytes: 200e6 / 8, Processors: 0.8}
 		}
-		n := Node{Name: fmt.Sprint("n", i), Addr: fmt.Sprint("n", i), Means: m}
+		n := Node{Name: fmt.Sprint("n", i), Addr: fmt.Sprint("n", i), Capacity: m}
 		nodes, l.means[n.Addr] = append(nodes, n), m
 	}
 	return l, nodes
@@ -97,7 +97,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		var nodes []Node
 		for i := range rapid.IntRange(1, 20).Draw(rt, "nodes") {
-			nodes = append(nodes, Node{Name: fmt.Sprint("n", i), Means: Means{
+			nodes = append(nodes, Node{Name: fmt.Sprint("n", i), Capacity: Capacity{
 				LinkBytes:  rapid.SampledFrom([]float64{0, 1e6, 3e6, 25e6}).Draw(rt, "link"),
 				Processors: rapid.SampledFrom([]float64{0, 0.192, 0.4, 0.8}).Draw(rt, "processors"),
 			}})
@@ -110,10 +110,10 @@
 			if other[i] != n {
 				rt.Fatalf("%s and %s at place %d", n.Name, other[i].Name, i)
 			}
-			best = max(best, n.Means.ordersPerSecond())
+			best = max(best, n.Capacity.ordersPerSecond())
 		}
 		for i := 1; i < len(nodes); i++ {
-			if a, b := nodes[i-1].Means.ordersPerSecond(), nodes[i].Means.ordersPerSecond(); a*classRatio < best && b*classRatio >= best {
+			if a, b := nodes[i-1].Capacity.ordersPerSecond(), nodes[i].Capacity.ordersPerSecond(); a*classRatio < best && b*classRatio >= best {
 				rt.Fatalf("a node of %.0f orders a second comes before one of %.0f", a, b)
 			}
 		}
--- a/internal/stagebatch/permits.go
+++ b/internal/stagebatch/permits.go
@@ -68,7 +68,7 @@
 	m.requestingPermit, m.permit = false, permit
 	var denied *sharedrate.Denied
 	if errors.As(err, &denied) {
-		m.permitOpensAt = denied.Opens
+		m.permitOpensAt = denied.RetryAt
 		f.log.Info("no permit for a stage call", "service", service, "target", m.ID, "limit", m.perSecond, "err", err)
 		return
 	}
@@ -79,7 +79,7 @@
 // rate-limited target releases count against the same limit as calls, so they are sent only if
 // the target is nearly full; otherwise the results expire.
 func (f *Former) mayRelease(service, addr string) bool {
-	process, bounded := f.list.BoundedAt(addr)
+	process, bounded := f.list.RateBoundedAt(addr)
 	if !bounded {
 		return true
 	}
--- a/internal/stagebatch/pool.go
+++ b/internal/stagebatch/pool.go
@@ -65,7 +65,7 @@
 	targets.Target
 	// standing is the readiness that the target reported. opens is when it may be called again
 	// if it rests.
-	standing readiness.Standing
+	standing readiness.Status
 	opens    time.Time
 	// calls is the number of this node's calls in progress at the target.
 	calls int
@@ -143,11 +143,11 @@
 
 // freeBytes returns the space for further results.
 func (m *targetState) freeBytes(spec *routes.Batch, now time.Time) int64 {
-	left := int64(usableShare * float64(spec.RoomBytes))
+	left := int64(usableShare * float64(spec.ResultSpace))
 	if now.Before(m.foreignUntil) {
 		// The target itself reported the figure, so no reserve is needed for errors of the
 		// sizes.
-		left = min(left, spec.RoomBytes-m.foreignBytes)
+		left = min(left, spec.ResultSpace-m.foreignBytes)
 	}
 	for h, r := range m.results {
 		if now.After(r.until) {
@@ -162,11 +162,11 @@
 // spaceUnknown reports whether the target's free space must be queried: it was never queried, or
 // the last figure has expired and showed much space taken by foreign results.
 func (m *targetState) spaceUnknown(spec *routes.Batch, now time.Time) bool {
-	if m.querying || spec.RoomBytes <= 0 {
+	if m.querying || spec.ResultSpace <= 0 {
 		return false
 	}
 	old := now.After(m.foreignUntil)
-	return !m.queried || (old && float64(m.foreignBytes) > foreignRequeryShare*float64(spec.RoomBytes))
+	return !m.queried || (old && float64(m.foreignBytes) > foreignRequeryShare*float64(spec.ResultSpace))
 }
 
 // nearlyFull reports whether the target may lack space for its next call: for the results of its
@@ -261,7 +261,7 @@
 	soonest, late := now.Add(expected(spec, 1)), now.Add(expected(spec, min(size, len(queue))))
 	slices.SortStableFunc(queue, func(a, b *piece) int { return before(a, b, late, pl) })
 	full := false
-	fullSpace := int64(usableShare * float64(spec.RoomBytes))
+	fullSpace := int64(usableShare * float64(spec.ResultSpace))
 	for len(queue) > 0 {
 		var group []*piece
 		group, queue = nextGroup(queue)
--- a/internal/stagebatch/room.go
+++ b/internal/stagebatch/room.go
@@ -38,7 +38,7 @@
 func (f *Former) querySpace(service string, m *targetState, addr string, spec *routes.Batch) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	free, err := f.worker.Room(ctx, addr)
+	free, err := f.worker.Space(ctx, addr)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m.queried, m.querying = true, false
@@ -47,7 +47,7 @@
 		return
 	}
 	now := time.Now()
-	m.foreignBytes = max(spec.RoomBytes-free-m.storedBytes(), 0)
+	m.foreignBytes = max(spec.ResultSpace-free-m.storedBytes(), 0)
 	if free > 0 && now.After(m.foreignUntil) && m.pausedUntil.Before(now.Add(busyPause)) {
 		// The target can take smaller calls at once. It stays paused if the previous figure is
 		// still valid, as even a call that fitted that figure was rejected, or if a failed call
@@ -66,7 +66,7 @@
 		if h == "" {
 			continue
 		}
-		addr := f.worker.Maker(h)
+		addr := f.worker.HolderAddr(h)
 		if len(f.releasing[addr]) == 0 {
 			time.AfterFunc(releaseDelay, func() { f.sendRelease(service, addr) })
 		}
@@ -77,7 +77,7 @@
 // sendRelease makes the call that releases the collected results of a target. Their space counts
 // as free only after the target has replied.
 func (f *Former) sendRelease(service, addr string) {
-	if wait := f.list.RestAt(addr); wait > 0 {
+	if wait := f.list.RemainingRest(addr); wait > 0 {
 		// The target has requested a pause. Handles that are collected meanwhile are released by
 		// the same call.
 		time.AfterFunc(wait, func() { f.sendRelease(service, addr) })
--- a/internal/stagebatch/room_test.go
+++ b/internal/stagebatch/room_test.go
@@ -117,7 +117,7 @@
 			f := NewFormer(p, list, poolSpec, discardLog)
 			res, err := f.Produce(t.Context(), orderDueIn("r", tc.pieces, 0, time.Second), nil)
 			c.Assert(err, qt.IsNil)
-			f.FreeIfTight("pool", res.Handles)
+			f.FreeIfNearlyFull("pool", res.Handles)
 			time.Sleep(time.Second)
 			stored := p.stored(0)
 			c.Assert(stored == tc.pieces, qt.Equals, tc.kept, qt.Commentf("%d results of %d left", stored, tc.pieces))
@@ -136,7 +136,7 @@
 	c := qt.New(t)
 	now := time.Date(2026, 3, 5, 0, 0, 0, 0, time.UTC)
 	spec := poolSpec("")
-	m := &targetState{foreignBytes: spec.RoomBytes - testResultBytes, foreignUntil: now.Add(time.Second)}
+	m := &targetState{foreignBytes: spec.ResultSpace - testResultBytes, foreignUntil: now.Add(time.Second)}
 	c.Assert(m.freeBytes(spec, now), qt.Equals, int64(testResultBytes))
 }
 
--- a/internal/stagebatch/router.go
+++ b/internal/stagebatch/router.go
@@ -16,8 +16,8 @@
 	Name, Addr string
 	// DataCentre is the data centre of the node.
 	DataCentre string
-	// Means is the capacity of the node for forming batches.
-	Means Means
+	// Capacity is the capacity of the node for forming batches.
+	Capacity Capacity
 }
 
 // Remote runs orders at other nodes. The production implementation is in package peer.
@@ -157,15 +157,15 @@
 	return false
 }
 
-// ErrSilent is the cancellation cause of a call to a node that sent no message within the
+// ErrNoMessage is the cancellation cause of a call to a node that sent no message within the
 // timeout.
-var ErrSilent = errors.New("stagebatch: no message from the node within the timeout")
+var ErrNoMessage = errors.New("stagebatch: no message from the node within the timeout")
 
 // produceAt runs an order at another node and cancels it if the node sends no message in time.
 func (r *Router) produceAt(ctx context.Context, n Node, o Order) (Result, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watchdog := time.AfterFunc(acceptTimeout, func() { cancel(ErrSilent) })
+	watchdog := time.AfterFunc(acceptTimeout, func() { cancel(ErrNoMessage) })
 	defer watchdog.Stop()
 	done := make(chan outcome, 1)
 	go func() {
@@ -178,8 +178,8 @@
 	}()
 	select {
 	case out := <-done:
-		if out.err != nil && errors.Is(context.Cause(ctx), ErrSilent) {
-			out.err = ErrSilent
+		if out.err != nil && errors.Is(context.Cause(ctx), ErrNoMessage) {
+			out.err = ErrNoMessage
 		}
 		return out.res, out.err
 	case <-ctx.Done():
@@ -252,14 +252,14 @@
 	}()
 }
 
-// FreeIfTight releases results that were read if their target is nearly full; see
-// Former.FreeIfTight.
-func (r *Router) FreeIfTight(service string, res Result) {
+// FreeIfNearlyFull releases results that were read if their target is nearly full; see
+// Former.FreeIfNearlyFull.
+func (r *Router) FreeIfNearlyFull(service string, res Result) {
 	if len(res.Handles) == 0 {
 		return
 	}
 	if res.Former == "" {
-		r.local.FreeIfTight(service, res.Handles)
+		r.local.FreeIfNearlyFull(service, res.Handles)
 		return
 	}
 	go func() {
@@ -271,9 +271,9 @@
 	}()
 }
 
-// Lead returns the node responsible for a task that all nodes share, as seen by this node, and
+// Leader returns the node responsible for a task that all nodes share, as seen by this node, and
 // whether it is this node.
-func (r *Router) Lead(name string) (n Node, self bool) {
+func (r *Router) Leader(name string) (n Node, self bool) {
 	ranked := r.ranked(name, region.Set{})
 	if len(ranked) == 0 {
 		return r.self, true
@@ -288,8 +288,8 @@
 	r.suspects[n.Name] = time.Now().Add(suspectFor)
 }
 
-// First returns the name of the node that forms the batches of a service, as seen by this node.
-func (r *Router) First(service string) string {
-	n, _ := r.Lead(service)
+// FirstBatchNode returns the name of the node that forms the batches of a service, as seen by this node.
+func (r *Router) FirstBatchNode(service string) string {
+	n, _ := r.Leader(service)
 	return n.Name
 }
--- a/internal/stagebatch/router_test.go
+++ b/internal/stagebatch/router_test.go
@@ -63,17 +63,17 @@
 }
 
 func (fixedTimeWorker) Free(context.Context, string, []string) error { return nil }
-func (fixedTimeWorker) Room(context.Context, string) (int64, error)  { return 1 << 20, nil }
-func (fixedTimeWorker) Maker(string) string                          { return "" }
+func (fixedTimeWorker) Space(context.Context, string) (int64, error) { return 1 << 20, nil }
+func (fixedTimeWorker) HolderAddr(string) string                     { return "" }
 
 func poolSpec(string) *routes.Batch {
-	return &routes.Batch{Slots: 1, Queue: 2, Items: 8, CallTime: 200 * time.Millisecond, ItemTime: 20 * time.Millisecond, RoomBytes: 1 << 20, Keep: 4 * time.Second}
+	return &routes.Batch{Slots: 1, Queue: 2, Items: 8, CallTime: 200 * time.Millisecond, ItemTime: 20 * time.Millisecond, ResultSpace: 1 << 20, Keep: 4 * time.Second}
 }
 
 // routerTo returns a Router whose node forms batches only if the remote node does not.
 func routerTo(r Remote) *Router {
 	list := targets.New("dc")
-	list.Update([]targets.Target{{ID: "t", Service: "pool", Addr: "a:1", DataCentre: "dc", Slots: 1}}, time.Time{})
+	list.Replace([]targets.Target{{ID: "t", Service: "pool", Addr: "a:1", DataCentre: "dc", Slots: 1}}, time.Time{})
 	local := NewFormer(fixedTimeWorker{}, list, poolSpec, discardLog)
 	router := NewRouter(Node{Name: "self"}, local, r, func() []Node { return []Node{{Name: "other", Addr: "b:1"}} }, discardLog)
 	router.Stop()
--- a/internal/stagebatch/stagebatch.go
+++ b/internal/stagebatch/stagebatch.go
@@ -91,7 +91,7 @@
 	Produced Reason = iota
 	Late
 	InputGone
-	NoRoom
+	NoSpace
 	ItemFailed
 )
 
@@ -105,13 +105,13 @@
 type Reply struct {
 	// Results has one entry per item, in the order of the items.
 	Results []ItemResult
-	// Others is the number of calls of other formers that the target had in progress when this
+	// OtherCalls is the number of calls of other formers that the target had in progress when this
 	// call ended.
-	Others int
+	OtherCalls int
 	// Notice is the readiness that the target reports.
 	Notice readiness.Notice
 	// Limit is the call rate that the target advertises.
-	Limit sharedrate.Word
+	Limit sharedrate.AdvertisedLimit
 }
 
 // CallError is the error of a call without results. NotRun means that the target rejected the
@@ -121,7 +121,7 @@
 	NotRun, Unreachable, Moved, Withheld bool
 	// Notice and Limit are what the target reported with a rejection or a failure.
 	Notice readiness.Notice
-	Limit  sharedrate.Word
+	Limit  sharedrate.AdvertisedLimit
 	Cause  error
 }
 
@@ -150,9 +150,9 @@
 	Run(ctx context.Context, t targets.Target, items []Item, may func() bool) (Reply, error)
 	// Free releases results at the target that holds them.
 	Free(ctx context.Context, addr string, handles []string) error
-	// Room returns an upper bound, in bytes, of the target's free space for results. The
+	// Space returns an upper bound, in bytes, of the target's free space for results. The
 	// targets' figures are approximate.
-	Room(ctx context.Context, addr string) (int64, error)
-	// Maker returns the address (IP:port) of the target that holds a result.
-	Maker(handle string) string
+	Space(ctx context.Context, addr string) (int64, error)
+	// HolderAddr returns the address (IP:port) of the target that holds a result.
+	HolderAddr(handle string) string
 }
--- a/internal/stagebatch/versions.go
+++ b/internal/stagebatch/versions.go
@@ -55,7 +55,7 @@
 	var ce *CallError
 	switch {
 	case errors.As(err, &ce) && (ce.NotRun || ce.Unreachable || ce.Moved || ce.Withheld):
-		return rollout.Nothing
+		return rollout.Inconclusive
 	case err != nil:
 		return rollout.Bad
 	case slices.ContainsFunc(reply.Results, func(r ItemResult) bool { return r.Reason == ItemFailed }):
@@ -63,5 +63,5 @@
 	case producedAny(reply.Results):
 		return rollout.Good
 	}
-	return rollout.Nothing
+	return rollout.Inconclusive
 }
--- a/internal/stagebatch/working_test.go
+++ b/internal/stagebatch/working_test.go
@@ -39,24 +39,24 @@
 
 func (w *manyTargets) Free(context.Context, string, []string) error { return nil }
 
-func (w *manyTargets) Room(context.Context, string) (int64, error) {
+func (w *manyTargets) Space(context.Context, string) (int64, error) {
 	w.rooms.Add(1)
 	time.Sleep(2 * time.Millisecond)
-	return w.spec.RoomBytes, nil
+	return w.spec.ResultSpace, nil
 }
 
-func (w *manyTargets) Maker(handle string) string { return handle }
+func (w *manyTargets) HolderAddr(handle string) string { return handle }
 
 // newManyTargets returns a Worker and a former of a pool with n targets in six data centres.
 func newManyTargets(n int) (*manyTargets, *Former) {
-	spec := &routes.Batch{Slots: 1, Queue: 2, Items: 8, CallTime: 200 * time.Millisecond, ItemTime: 20 * time.Millisecond, RoomBytes: 100 << 20, Keep: 10 * time.Second}
+	spec := &routes.Batch{Slots: 1, Queue: 2, Items: 8, CallTime: 200 * time.Millisecond, ItemTime: 20 * time.Millisecond, ResultSpace: 100 << 20, Keep: 10 * time.Second}
 	w := &manyTargets{spec: spec, called: make(map[string]bool)}
 	list := targets.New("d0")
 	var all []targets.Target
 	for i := range n {
 		all = append(all, targets.Target{ID: fmt.Sprint("t", i), Service: "pool", Addr: fmt.Sprint("a", i), DataCentre: fmt.Sprint("d", i%6), Slots: 1})
 	}
-	list.Update(all, time.Time{})
+	list.Replace(all, time.Time{})
 	f := NewFormer(w, list, func(string) *routes.Batch { return spec }, discardLog)
 	f.Name = "node"
 	return w, f
--- a/internal/standin/gate.go
+++ b/internal/standin/gate.go
@@ -8,10 +8,10 @@
 	"topazmoor/internal/store"
 )
 
-// Gate forwards the store calls of one node to inner, so that tests can
+// StoreProxy forwards the store calls of one node to inner, so that tests can
 // disconnect or freeze the node's access to the store without an effect on other
 // nodes. It implements store.Store.
-type Gate struct {
+type StoreProxy struct {
 	inner store.Store
 
 	mu     sync.Mutex
@@ -19,12 +19,12 @@
 	frozen chan struct{}
 }
 
-// NewGate returns a Gate that forwards all calls to inner.
-func NewGate(inner store.Store) *Gate { return &Gate{inner: inner} }
+// NewStoreProxy returns a Gate that forwards all calls to inner.
+func NewStoreProxy(inner store.Store) *StoreProxy { return &StoreProxy{inner: inner} }
 
-// SetCut disconnects the node from the store, or connects it again. While it is
+// SetDisconnected disconnects the node from the store, or connects it again. While it is
 // disconnected, calls fail with store.ErrUnavailable.
-func (g *Gate) SetCut(cut bool) {
+func (g *StoreProxy) SetDisconnected(cut bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.cut = cut
@@ -32,7 +32,7 @@
 
 // Freeze blocks new calls until Thaw, and also the answers of calls to Commit and
 // Changes that are under way.
-func (g *Gate) Freeze() {
+func (g *StoreProxy) Freeze() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.frozen == nil {
@@ -40,8 +40,8 @@
 	}
 }
 
-// Thaw ends a freeze; it does nothing without one.
-func (g *Gate) Thaw() {
+// Unfreeze ends a freeze; it does nothing without one.
+func (g *StoreProxy) Unfreeze() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.frozen != nil {
@@ -52,7 +52,7 @@
 
 // wait blocks while the gate is frozen. It returns store.ErrUnavailable if the
 // node was disconnected when wait was called.
-func (g *Gate) wait() error {
+func (g *StoreProxy) wait() error {
 	g.mu.Lock()
 	frozen, cut := g.frozen, g.cut
 	g.mu.Unlock()
@@ -67,7 +67,7 @@
 
 // Commit implements store.Tables. If the node is disconnected during the commit,
 // it gets store.ErrUnknown, whether or not the transaction was committed.
-func (g *Gate) Commit(ctx context.Context, tx store.Tx) (store.Version, error) {
+func (g *StoreProxy) Commit(ctx context.Context, tx store.Tx) (store.Version, error) {
 	if err := g.wait(); err != nil {
 		return store.Version{}, err
 	}
@@ -79,7 +79,7 @@
 }
 
 // Get implements store.Tables.
-func (g *Gate) Get(ctx context.Context, table, key string) (store.Row, error) {
+func (g *StoreProxy) Get(ctx context.Context, table, key string) (store.Row, error) {
 	if err := g.wait(); err != nil {
 		return store.Row{}, err
 	}
@@ -87,7 +87,7 @@
 }
 
 // Scan implements store.Tables.
-func (g *Gate) Scan(ctx context.Context, table, prefix, after string, limit int) ([]store.Row, error) {
+func (g *StoreProxy) Scan(ctx context.Context, table, prefix, after string, limit int) ([]store.Row, error) {
 	if err := g.wait(); err != nil {
 		return nil, err
 	}
@@ -95,7 +95,7 @@
 }
 
 // Snapshot implements store.Watchable.
-func (g *Gate) Snapshot(ctx context.Context, table string, least store.Version) (store.Snapshot, error) {
+func (g *StoreProxy) Snapshot(ctx context.Context, table string, least store.Version) (store.Snapshot, error) {
 	if err := g.wait(); err != nil {
 		return store.Snapshot{}, err
 	}
@@ -104,7 +104,7 @@
 
 // Changes implements store.Watchable. If the node is disconnected during the
 // call, it gets store.ErrUnavailable.
-func (g *Gate) Changes(ctx context.Context, table string, after store.Version, wait time.Duration) (store.Changes, error) {
+func (g *StoreProxy) Changes(ctx context.Context, table string, after store.Version, wait time.Duration) (store.Changes, error) {
 	if err := g.wait(); err != nil {
 		return store.Changes{}, err
 	}
@@ -116,7 +116,7 @@
 }
 
 // Put implements store.Objects.
-func (g *Gate) Put(ctx context.Context, key string, value []byte) error {
+func (g *StoreProxy) Put(ctx context.Context, key string, value []byte) error {
 	if err := g.wait(); err != nil {
 		return err
 	}
@@ -124,7 +124,7 @@
 }
 
 // GetObject implements store.Objects.
-func (g *Gate) GetObject(ctx context.Context, key string) ([]byte, error) {
+func (g *StoreProxy) GetObject(ctx context.Context, key string) ([]byte, error) {
 	if err := g.wait(); err != nil {
 		return nil, err
 	}
--- a/internal/standin/memnet/memnet.go
+++ b/internal/standin/memnet/memnet.go
@@ -47,10 +47,10 @@
 	}
 }
 
-// SetCut replaces the partition. If cut(from, to) returns true, dials by host from
+// SetPartition replaces the partition. If cut(from, to) returns true, dials by host from
 // to host to fail, datagrams in this direction are lost, and the connections that
 // from opened to to are closed at once. Hosts are IP addresses.
-func (n *Network) SetCut(cut func(from, to string) bool) {
+func (n *Network) SetPartition(cut func(from, to string) bool) {
 	n.mu.Lock()
 	n.cut = cut
 	var broken []*endpoint
@@ -75,8 +75,8 @@
 	}
 }
 
-// Thaw ends the freeze of a host; it does nothing without one.
-func (n *Network) Thaw(host string) {
+// Unfreeze ends the freeze of a host; it does nothing without one.
+func (n *Network) Unfreeze(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if ch := n.frozen[host]; ch != nil {
@@ -107,11 +107,11 @@
 	return true
 }
 
-// Silence makes open connections silent for good: if match(from, to) returns true,
+// Blackhole makes open connections silent for good: if match(from, to) returns true,
 // those that host from opened to host to. A silent connection drops all data, and
 // neither end gets an error or observes that the other end closes. Connections
 // that are opened later work.
-func (n *Network) Silence(match func(from, to string) bool) {
+func (n *Network) Blackhole(match func(from, to string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for s := range n.conns {
--- a/internal/standin/target.go
+++ b/internal/standin/target.go
@@ -59,8 +59,8 @@
 	// lower than one it received before.
 	LoadTime       time.Duration
 	HonoursFencing bool
-	// Loaded is called with the models of an order once they are loaded.
-	Loaded func(models []string)
+	// OnLoaded is called with the models of an order once they are loaded.
+	OnLoaded func(models []string)
 }
 
 // Target is a stand-in of one target host. It implements http.Handler.
@@ -237,9 +237,9 @@
 	}
 }
 
-// Starts returns the start times of calls with this input, a JSON value. It is
+// StartTimes returns the start times of calls with this input, a JSON value. It is
 // empty for targets that are not of kind Service.
-func (t *Target) Starts(input string) []time.Time {
+func (t *Target) StartTimes(input string) []time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.startTimes[input]
@@ -301,7 +301,7 @@
 		http.Error(w, `{"error":"old fencing number"}`, http.StatusConflict)
 		return
 	}
-	time.AfterFunc(t.cfg.LoadTime, func() { t.cfg.Loaded(o.Models) })
+	time.AfterFunc(t.cfg.LoadTime, func() { t.cfg.OnLoaded(o.Models) })
 	write(w, []byte("{}"))
 }
 
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -21,8 +21,8 @@
 	Service time.Duration
 	// Models are the models that every engine has loaded. If Held is set, it
 	// lists the models of each engine instead.
-	Models []string
-	Held   [][]string
+	Models         []string
+	ModelsByTarget [][]string
 }
 
 // modelLoadTime is the time that a stand-in engine takes to load models.
@@ -30,8 +30,8 @@
 
 // modelsOf returns the models of engine i, counted from 0.
 func (s PoolSpec) modelsOf(i int) []string {
-	if s.Held != nil {
-		return s.Held[i]
+	if s.ModelsByTarget != nil {
+		return s.ModelsByTarget[i]
 	}
 	return s.Models
 }
@@ -89,7 +89,7 @@
 	t := NewTarget(TargetConfig{
 		Kind: spec.Pool.Kind, Slots: spec.Slots, Service: spec.Service, Models: host.Models,
 		LoadTime: modelLoadTime, HonoursFencing: spec.Pool.HonoursFencing,
-		Loaded: func(models []string) {
+		OnLoaded: func(models []string) {
 			loaded := host
 			loaded.Models = models
 			w.Store.SetHost(loaded)
@@ -122,12 +122,12 @@
 	return n
 }
 
-// Starts returns the start times of calls with this input, a JSON value, over all
+// StartTimes returns the start times of calls with this input, a JSON value, over all
 // targets of kind Service.
-func (w *World) Starts(input string) []time.Time {
+func (w *World) StartTimes(input string) []time.Time {
 	var out []time.Time
 	for _, t := range w.Targets {
-		out = append(out, t.Starts(input)...)
+		out = append(out, t.StartTimes(input)...)
 	}
 	return out
 }
--- a/internal/store/memory.go
+++ b/internal/store/memory.go
@@ -113,8 +113,8 @@
 	m.changed = make(chan struct{})
 }
 
-// Saved is a backup of a Memory, from which Restore can restore it.
-type Saved struct {
+// Backup is a backup of a Memory, from which Restore can restore it.
+type Backup struct {
 	tables  map[string]map[string]Row
 	objects map[string][]byte
 	deleted map[rowID]Version
@@ -124,10 +124,10 @@
 }
 
 // Save returns a backup of the current content of the store.
-func (m *Memory) Save() *Saved {
+func (m *Memory) Save() *Backup {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s := &Saved{tables: make(map[string]map[string]Row), objects: maps.Clone(m.objects), deleted: maps.Clone(m.deleted), version: m.version, compacted: m.compacted}
+	s := &Backup{tables: make(map[string]map[string]Row), objects: maps.Clone(m.objects), deleted: maps.Clone(m.deleted), version: m.version, compacted: m.compacted}
 	for name, t := range m.tables {
 		s.tables[name] = maps.Clone(t)
 	}
@@ -135,7 +135,7 @@
 }
 
 // Restore replaces the content of the store by the backup s and begins a new era.
-func (m *Memory) Restore(s *Saved) {
+func (m *Memory) Restore(s *Backup) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	era := m.version.Era + 1
@@ -236,7 +236,7 @@
 		if !now.IsZero() {
 			now.Era = m.version.Era
 		}
-		if !now.Same(c.Version) {
+		if !now.Matches(c.Version) {
 			out = append(out, i)
 		}
 	}
--- a/internal/store/version.go
+++ b/internal/store/version.go
@@ -23,9 +23,9 @@
 // Before reports whether v is older than w.
 func (v Version) Before(w Version) bool { return v.Compare(w) < 0 }
 
-// Same reports whether a condition on version v holds for a row at version w. Two versions of a
+// Matches reports whether a condition on version v holds for a row at version w. Two versions of a
 // row that does not exist are the same in all eras.
-func (v Version) Same(w Version) bool { return v == w || v.IsZero() && w.IsZero() }
+func (v Version) Matches(w Version) bool { return v == w || v.IsZero() && w.IsZero() }
 
 // IsZero reports whether v has no commit number, as for a row that does not exist.
 func (v Version) IsZero() bool { return v.Number == 0 }
@@ -34,10 +34,10 @@
 // other.
 func (v Version) SameEra(w Version) bool { return v.Era == w.Era }
 
-// Predates reports whether v, read in a later era than w, may have been committed no later than
+// MayPrecede reports whether v, read in a later era than w, may have been committed no later than
 // the backup that the service was restored from, while w was committed after it and was lost: the
 // number of v does not exceed that of w.
-func (v Version) Predates(w Version) bool { return !v.SameEra(w) && v.Number <= w.Number }
+func (v Version) MayPrecede(w Version) bool { return !v.SameEra(w) && v.Number <= w.Number }
 
 // String implements fmt.Stringer.
 func (v Version) String() string { return fmt.Sprintf("%d/%d", v.Era, v.Number) }
--- a/internal/suspend/suspend.go
+++ b/internal/suspend/suspend.go
@@ -67,8 +67,8 @@
 	return time.Duration(boot.Nano() - monotonic.Nano()), nil
 }
 
-// Slept returns the total length of the detected suspensions since the Detector was created.
-func (d *Detector) Slept() time.Duration { return time.Duration(d.suspended.Load()) }
+// SuspendedTime returns the total length of the detected suspensions since the Detector was created.
+func (d *Detector) SuspendedTime() time.Duration { return time.Duration(d.suspended.Load()) }
 
 // Check checks whether the host was suspended. If so, it calls onResume before it returns.
 func (d *Detector) Check() {
--- a/internal/suspend/suspend_test.go
+++ b/internal/suspend/suspend_test.go
@@ -19,7 +19,7 @@
 	d.Check()
 	d.Check()
 	c.Assert(gaps, qt.DeepEquals, []time.Duration{5 * time.Second})
-	c.Assert(d.Slept(), qt.Equals, 5*time.Second)
+	c.Assert(d.SuspendedTime(), qt.Equals, 5*time.Second)
 	// The process was preempted between the reads of the two clocks.
 	ahead += 150 * time.Millisecond
 	d.Check()
@@ -29,7 +29,7 @@
 	ahead += time.Second
 	d.Check()
 	c.Assert(gaps, qt.HasLen, 2)
-	c.Assert(d.Slept(), qt.Equals, 6*time.Second)
+	c.Assert(d.SuspendedTime(), qt.Equals, 6*time.Second)
 }
 
 func TestKernelClocksCanBeRead(t *testing.T) {
--- a/internal/targets/datacentre_test.go
+++ b/internal/targets/datacentre_test.go
@@ -16,14 +16,14 @@
 	tb, _ := newTable(engines(6)...)
 	l := tb.Pick(Query{Service: "engines", Exclude: []string{"e0", "e2", "e4"}})
 	c.Assert(l.DataCentre, qt.Equals, "dc2")
-	l.PromptRead()
+	l.MarkPromptRead()
 	began, _ := tb.Drain(map[string]bool{"dc2": true})
 	c.Assert(began, qt.DeepEquals, []string{"dc2"})
 	// A call for which the target was chosen before the drain must not be sent either.
 	c.Assert(tb.MayCall(l.ID), qt.IsFalse)
 	c.Assert(tb.Usable("engines"), qt.HasLen, 3)
 	c.Assert(tb.Drained(l.Addr), qt.IsTrue)
-	c.Assert(tb.Home("engines", 7, 0, region.Set{}), qt.Equals, "dc1")
+	c.Assert(tb.PreferredDataCentre("engines", 7, 0, region.Set{}), qt.Equals, "dc1")
 	for i := range 20 {
 		got := tb.Pick(Query{Service: "engines", Engine: queryOf(uint64(i))})
 		c.Assert(got.DataCentre, qt.Equals, "dc1")
@@ -41,7 +41,7 @@
 	c := qt.New(t)
 	tb, _ := newTable(engines(4)...)
 	l := tb.Pick(Query{Service: "engines", Exclude: []string{"e0", "e2"}, Engine: queryOf(10)})
-	l.PromptRead()
+	l.MarkPromptRead()
 	other := tb.Pick(Query{Service: "engines", Exclude: []string{"e1", "e3"}, Engine: queryOf(11)})
 	c.Assert(other.CopyFrom, qt.Equals, l.Addr)
 	tb.Drain(map[string]bool{"dc2": true})
@@ -55,17 +55,17 @@
 	list[0].Born, list[1].Born = 1000, 1000
 	tb, now := newTable(list...)
 	old := tb.Pick(Query{Service: "engines", Exclude: []string{"e1"}, Engine: queryOf(10)})
-	old.PromptRead()
-	old.Told(Load{Running: 100, Waiting: 50, Slots: 128})
+	old.MarkPromptRead()
+	old.RecordLoad(Load{Running: 100, Waiting: 50, Slots: 128})
 	for range 5 {
 		tb.Pick(Query{Service: "engines", Exclude: []string{"e1"}}).Done(Failed, 0)
 	}
 	now.at = now.at.Add(time.Second)
 	again := list[0]
 	again.Born = 2000
-	changes, gone := tb.Update([]Target{again, list[1]}, time.Time{})
+	changes, gone := tb.Replace([]Target{again, list[1]}, time.Time{})
 	c.Assert(changes, qt.HasLen, 1)
-	c.Assert(changes[0].What, qt.Equals, restarted)
+	c.Assert(changes[0].Kind, qt.Equals, restarted)
 	// The connections to its address belong to the former process.
 	c.Assert(gone, qt.DeepEquals, []string{again.Addr})
 	l := tb.Pick(Query{Service: "engines", Exclude: []string{"e1"}, Engine: queryOf(11)})
@@ -75,7 +75,7 @@
 	other := tb.Pick(Query{Service: "engines", Exclude: []string{"e0"}, Engine: queryOf(12)})
 	c.Assert(other.CopyFrom, qt.Not(qt.Equals), again.Addr)
 	// Late answers of the former process don't change the state of the new one.
-	old.Told(Load{Running: 100, Waiting: 50, Slots: 128})
+	old.RecordLoad(Load{Running: 100, Waiting: 50, Slots: 128})
 	old.Done(Moved, 0)
 	c.Assert(tb.MayCall("e0"), qt.IsTrue)
 	c.Assert(tb.Pick(Query{Service: "engines", Exclude: []string{"e1"}}).Basis.Calls, qt.Equals, 1)
@@ -93,7 +93,7 @@
 			for _, target := range listed {
 				list = append(list, target)
 			}
-			tb.Update(list, time.Time{})
+			tb.Replace(list, time.Time{})
 		}
 		rt.Repeat(map[string]func(*rapid.T){
 			"drain": func(rt *rapid.T) {
@@ -139,7 +139,7 @@
 				if from := tb.at(l.CopyFrom); from != nil && drained[from.DataCentre] {
 					rt.Fatalf("a prompt is copied from %s", from.ID)
 				}
-				l.PromptRead()
+				l.MarkPromptRead()
 				l.Done(Served, time.Millisecond)
 			},
 		})
--- a/internal/targets/engine.go
+++ b/internal/targets/engine.go
@@ -49,8 +49,8 @@
 // advertise a rate limit serve neither, and are left out.
 func (t *Table) promptHolders(q Query, now time.Time) []promptHolder {
 	var out []promptHolder
-	for _, k := range t.prompts.Kept(q.Engine.Prompt) {
-		if s := t.byProcess[k.Engine]; s != nil && t.Regions.Allows(q.Regions, s.DataCentre) && !s.moved && !s.drained && s.dropAt.IsZero() && s.ready.Standing(now) != readiness.Resting && !s.reported.limit.limited() && !s.breaker.Down(now) {
+	for _, k := range t.prompts.Match(q.Engine.Prompt) {
+		if s := t.byProcess[k.Engine]; s != nil && t.Regions.Allows(q.Regions, s.DataCentre) && !s.moved && !s.drained && s.dropAt.IsZero() && s.ready.Status(now) != readiness.Resting && !s.reported.limit.limited() && !s.breaker.Down(now) {
 			out = append(out, promptHolder{s, k.Tokens})
 		}
 	}
@@ -124,7 +124,7 @@
 	for _, s := range cands {
 		c := float64(callTokens*(s.calls(now)-least)) + pendingShare*float64(s.pending) + s.failures*failureTokens
 		if !off.Has(mechanism.NearInputs) {
-			c += float64(remoteBytes(q.Inputs, s.DataCentre)) / bytesPerToken
+			c += float64(remoteBytes(q.InputBytes, s.DataCentre)) / bytesPerToken
 		}
 		if t.inOtherRegion(s) {
 			c += regionTokens
@@ -197,9 +197,9 @@
 	return first, second
 }
 
-// Home returns the data centre of the engine that prompt affinity prefers for a prompt, among
+// PreferredDataCentre returns the data centre of the engine that prompt affinity prefers for a prompt, among
 // those in some regions; "" if there is none.
-func (t *Table) Home(service string, affinity uint64, shared int, in region.Set) string {
+func (t *Table) PreferredDataCentre(service string, affinity uint64, shared int, in region.Set) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	cands := t.candidates(Query{Service: service, Regions: in}, t.now())
--- a/internal/targets/limit.go
+++ b/internal/targets/limit.go
@@ -20,13 +20,13 @@
 	Acquire(ctx context.Context, rate sharedrate.Rate, turn, latest time.Time) (sharedrate.Permit, error)
 	// GiveBack returns a permit that was not used.
 	GiveBack(key string, p sharedrate.Permit)
-	// Ended records that a process reported at a time that it has no rate limit any more.
+	// ProcessEnded records that a process reported at a time that it has no rate limit any more.
 	Ended(key string, heard time.Time)
 }
 
 // limit is the rate limit that a process advertises, for the requests of all nodes together.
 type limit struct {
-	sharedrate.Belief
+	sharedrate.LimitEstimate
 	// availableAt is the earliest time at which a permit may be available; zero for unknown.
 	availableAt time.Time
 }
@@ -81,14 +81,14 @@
 	Process, Addr, Service string
 	// PerSecond is the new limit, in requests a second; negative for none any more.
 	PerSecond float64
-	// Lasted is how long the process had advertised limits without interruption.
-	Lasted time.Duration
-	// Told is set if another node observed the change.
-	Told bool
+	// LimitedFor is how long the process had advertised limits without interruption.
+	LimitedFor time.Duration
+	// RecordLoad is set if another node observed the change.
+	ByOtherNode bool
 }
 
-// HeardLimit updates the limit of a process from the answer to a call that began at a given time.
-func (t *Table) HeardLimit(process string, w sharedrate.Word, began time.Time) {
+// UpdateLimit updates the limit of a process from the answer to a call that began at a given time.
+func (t *Table) UpdateLimit(process string, w sharedrate.AdvertisedLimit, began time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.reported[process]; s != nil {
@@ -96,17 +96,17 @@
 	}
 }
 
-// HeardLimit updates the limit of the target's process from the answer to the call.
-func (l *Lease) HeardLimit(w sharedrate.Word) {
+// UpdateLimit updates the limit of the target's process from the answer to the call.
+func (l *Lease) UpdateLimit(w sharedrate.AdvertisedLimit) {
 	l.t.mu.Lock()
 	defer l.t.mu.Unlock()
 	l.t.updateLimit(l.s.process, l.s.reported, w, l.began)
 }
 
 // updateLimit updates the limit of a process; if it has ended, it informs Permits. The lock is held.
-func (t *Table) updateLimit(process string, s *reported, w sharedrate.Word, began time.Time) {
-	now, since := t.now(), s.limit.Since()
-	if !s.limit.Hear(w, began, now) {
+func (t *Table) updateLimit(process string, s *reported, w sharedrate.AdvertisedLimit, began time.Time) {
+	now, since := t.now(), s.limit.LimitedSince()
+	if !s.limit.Observe(w, began, now) {
 		return
 	}
 	s.limit.availableAt = time.Time{}
@@ -122,9 +122,9 @@
 	if t.LimitChanged == nil {
 		return
 	}
-	change := LimitChange{Process: process, PerSecond: s.limit.advertised(), Told: byOtherNode}
+	change := LimitChange{Process: process, PerSecond: s.limit.advertised(), ByOtherNode: byOtherNode}
 	if !since.IsZero() {
-		change.Lasted = t.now().Sub(since)
+		change.LimitedFor = t.now().Sub(since)
 	}
 	if listed := t.byProcess[process]; listed != nil {
 		change.Addr, change.Service = listed.Addr, listed.Service
@@ -182,19 +182,19 @@
 	if s == nil {
 		return
 	}
-	since := s.limit.Since()
-	if d.Ended && s.limit.EndedAt(d.HeardAt) {
+	since := s.limit.LimitedSince()
+	if d.Ended && s.limit.ObserveEnd(d.EndedAt) {
 		t.notifyLimitChange(process, s, since, true)
 		return
 	}
-	s.limit.availableAt = d.Opens
+	s.limit.availableAt = d.RetryAt
 	if soonest := t.now().Add(conflictBackoff); d.Ended {
 		s.limit.availableAt = soonest
 	}
 }
 
-// Unsent returns the permit of a call of which no byte was sent.
-func (l *Lease) Unsent() {
+// ReturnPermit returns the permit of a call of which no byte was sent.
+func (l *Lease) ReturnPermit() {
 	if l.t.Permits != nil && l.permit != (sharedrate.Permit{}) {
 		l.t.Permits.GiveBack(l.s.process, l.permit)
 	}
@@ -205,9 +205,9 @@
 	return !t.bounded(s, now) || p.Valid(now)
 }
 
-// Bounded returns how many calls a second a process accepts from all nodes together; ok is false
+// RateBound returns how many calls a second a process accepts from all nodes together; ok is false
 // if its rate is not bounded.
-func (t *Table) Bounded(process string) (perSecond float64, ok bool) {
+func (t *Table) RateBound(process string) (perSecond float64, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.byProcess[process]
@@ -218,8 +218,8 @@
 	return rate.PerSecond, ok
 }
 
-// BoundedAt returns the process at an address if its rate is bounded.
-func (t *Table) BoundedAt(addr string) (process string, ok bool) {
+// RateBoundedAt returns the process at an address if its rate is bounded.
+func (t *Table) RateBoundedAt(addr string) (process string, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.at(addr)
--- a/internal/targets/pick.go
+++ b/internal/targets/pick.go
@@ -24,18 +24,18 @@
 	Exclude []string
 	// Engine is set for calls of model engines.
 	Engine *EngineQuery
-	// Alone asks for the target with the fewest calls: the call may end the target's process,
+	// LeastBusy asks for the target with the fewest calls: the call may end the target's process,
 	// and the other calls there with it.
-	Alone bool
-	// Again is set if the request was sent before: it is not used as the trial call of a target
+	LeastBusy bool
+	// Resent is set if the request was sent before: it is not used as the trial call of a target
 	// after a rest, unless there is no other target.
-	Again bool
-	// Latest is until when the request may wait for a permit if the rates of all targets are
+	Resent bool
+	// PermitDeadline is until when the request may wait for a permit if the rates of all targets are
 	// bounded.
-	Latest time.Time
-	// Unbounded leaves out targets whose rate is bounded: an optional call should not use up a
+	PermitDeadline time.Time
+	// SkipRateBounded leaves out targets whose rate is bounded: an optional call should not use up a
 	// part of that rate.
-	Unbounded bool
+	SkipRateBounded bool
 }
 
 // EngineQuery holds the properties of a call that decide the choice of a model engine.
@@ -47,9 +47,9 @@
 	Tokens, Shared int
 	// Prompt is the whole prompt by its prefixes, the shortest first.
 	Prompt []promptcache.Prefix
-	// Inputs is how many bytes of stage results the engine will fetch, by the data centre that
+	// InputBytes is how many bytes of stage results the engine will fetch, by the data centre that
 	// stores them.
-	Inputs map[string]int64
+	InputBytes map[string]int64
 }
 
 const (
@@ -140,10 +140,10 @@
 	}
 	l := &Lease{t: t, began: now, latest: now, observed: callObservation{route: q.Route}}
 	if !slices.ContainsFunc(cands, func(s *state) bool { return !t.bounded(s, now) }) {
-		l.latest = q.Latest
+		l.latest = q.PermitDeadline
 	}
 	switch {
-	case q.Alone:
+	case q.LeastBusy:
 		l.s = leastBusy(cands, now)
 		if q.Engine != nil {
 			l.tokens, l.prompt = q.Engine.Tokens, q.Engine.Prompt
@@ -163,7 +163,7 @@
 		l.Basis.LoadAge = now.Sub(l.s.loadAt)
 	}
 	l.s.breaker.Start()
-	l.s.ready.Begin(now)
+	l.s.ready.CallStarted(now)
 	l.s.inFlight++
 	l.s.pending += l.tokens
 	t.recordStart(l)
@@ -192,10 +192,10 @@
 	var healthy, fallback, down []*state
 	var nextPermitted *state
 	for _, s := range t.services[q.Service] {
-		if !s.usable(now) || !admits(s) || !t.Regions.Allows(q.Regions, s.DataCentre) || slices.Contains(q.Exclude, s.ID) || q.Unbounded && t.bounded(s, now) {
+		if !s.usable(now) || !admits(s) || !t.Regions.Allows(q.Regions, s.DataCentre) || slices.Contains(q.Exclude, s.ID) || q.SkipRateBounded && t.bounded(s, now) {
 			continue
 		}
-		standing := s.ready.Standing(now)
+		standing := s.ready.Status(now)
 		if standing == readiness.Resting {
 			continue
 		}
@@ -217,7 +217,7 @@
 			return cands
 		}
 	}
-	if nextPermitted != nil && !nextPermitted.reported.limit.availableAt.After(q.Latest) {
+	if nextPermitted != nil && !nextPermitted.reported.limit.availableAt.After(q.PermitDeadline) {
 		return []*state{nextPermitted}
 	}
 	return down
@@ -226,8 +226,8 @@
 // lastResort reports whether a target with a standing is called only where there is no other.
 // Otherwise a request that one target rejects as its trial call could become the trial call of
 // the next one too, and use up its attempts.
-func (q Query) lastResort(s readiness.Standing) bool {
-	return s == readiness.Avoided || s == readiness.OnTrial && (q.Again || q.Alone)
+func (q Query) lastResort(s readiness.Status) bool {
+	return s == readiness.Avoided || s == readiness.OnTrial && (q.Resent || q.LeastBusy)
 }
 
 // calls estimates all calls at a target: the load that it last reported, corrected by the calls
@@ -287,17 +287,17 @@
 	return best
 }
 
-// PromptRead records that the target has read the prompt of the call.
-func (l *Lease) PromptRead() {
-	l.t.prompts.Read(l.Process(), l.prompt)
+// MarkPromptRead records that the target has read the prompt of the call.
+func (l *Lease) MarkPromptRead() {
+	l.t.prompts.RecordRead(l.Process(), l.prompt)
 	l.t.mu.Lock()
 	defer l.t.mu.Unlock()
 	l.s.pending -= l.tokens
 	l.tokens = 0
 }
 
-// Told records the load that the target reported.
-func (l *Lease) Told(load Load) {
+// RecordLoad records the load that the target reported.
+func (l *Lease) RecordLoad(load Load) {
 	l.t.mu.Lock()
 	defer l.t.mu.Unlock()
 	l.s.load, l.s.loadAt, l.s.inFlightAtLoad = load, l.t.now(), l.s.inFlight
@@ -309,7 +309,7 @@
 	l.t.mu.Lock()
 	defer l.t.mu.Unlock()
 	s := l.s
-	s.ready.Lost(l.began)
+	s.ready.Unanswered(l.began)
 	s.inFlight--
 	s.pending -= l.tokens
 	now := l.t.now()
@@ -335,9 +335,9 @@
 	}
 }
 
-// Ended records that a process seems to have ended: its target gets no calls for a while. The
+// ProcessEnded records that a process seems to have ended: its target gets no calls for a while. The
 // target may stay listed for some seconds, or the process may only be unreachable from this node.
-func (t *Table) Ended(process string) {
+func (t *Table) ProcessEnded(process string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.byProcess[process]; s != nil {
@@ -380,8 +380,8 @@
 	return sum / time.Duration(n)
 }
 
-// FirstEvent records the time to the first event of a stream.
-func (l *Lease) FirstEvent(took time.Duration) {
+// RecordFirstEvent records the time to the first event of a stream.
+func (l *Lease) RecordFirstEvent(took time.Duration) {
 	l.t.mu.Lock()
 	defer l.t.mu.Unlock()
 	l.s.recordLatency(took, l.t.now())
--- a/internal/targets/regions_test.go
+++ b/internal/targets/regions_test.go
@@ -23,7 +23,7 @@
 	tb, _ := newTableInRegions(6)
 	q := EngineQuery{Affinity: 7, Tokens: 9000, Shared: 6300, Prompt: []promptcache.Prefix{{Hash: 7, Tokens: 6300}, {Hash: 8, Tokens: 9000}}}
 	read := tb.Pick(Query{Service: "engines", Engine: &q, Regions: region.Only("south")})
-	read.PromptRead()
+	read.MarkPromptRead()
 	read.Done(Served, 0)
 	copying := tb.Pick(Query{Service: "engines", Engine: &q, Exclude: []string{read.ID}, Regions: region.Only("south")})
 	c.Assert(copying.CopyFrom, qt.Equals, read.Addr)
@@ -40,14 +40,14 @@
 	c := qt.New(t)
 	tb, now := newTableInRegions(2)
 	l := tb.Pick(Query{Service: "engines", Regions: region.Only("north")})
-	l.Heard(readiness.Notice{Rest: 3 * time.Second}, true)
+	l.UpdateReadiness(readiness.Notice{Rest: 3 * time.Second}, true)
 	l.Done(Busy, 0)
-	at, ok := tb.Opens("engines", region.Only("north"))
+	at, ok := tb.AvailableAt("engines", region.Only("north"))
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(at.Sub(now.at), qt.Equals, 3*time.Second)
-	at, ok = tb.Opens("engines", region.Only("south"))
+	at, ok = tb.AvailableAt("engines", region.Only("south"))
 	c.Assert(ok && at.IsZero(), qt.IsTrue)
-	_, ok = tb.Opens("engines", region.Only("west"))
+	_, ok = tb.AvailableAt("engines", region.Only("west"))
 	c.Assert(ok, qt.IsFalse)
 }
 
@@ -60,7 +60,7 @@
 		q := EngineQuery{Affinity: uint64(i + 1), Tokens: 2000, Shared: 500}
 		l := tb.Pick(Query{Service: "engines", Engine: &q})
 		c.Assert(l.DataCentre, qt.Equals, "dc1")
-		l.PromptRead()
+		l.MarkPromptRead()
 		l.Done(Served, 0)
 		plain := tb.Pick(Query{Service: "engines"})
 		c.Assert(plain.DataCentre, qt.Equals, "dc1")
@@ -72,7 +72,7 @@
 		if l.DataCentre == "dc2" {
 			far++
 		}
-		l.PromptRead()
+		l.MarkPromptRead()
 		l.Done(Served, 0)
 	}
 	c.Assert(far > 5, qt.IsTrue)
--- a/internal/targets/rollout.go
+++ b/internal/targets/rollout.go
@@ -9,9 +9,9 @@
 
 // Rollouts decides which versions of a service get calls, and records how the calls end;
 // *rollout.Gate in production. It is called with the Table's lock held, except by StageCalled and
-// StageEnded.
+// RecordStageCallEnd.
 type Rollouts interface {
-	Lanes(service string, again bool, others func(version string) bool) []rollout.Lane
+	TargetGroups(service string, again bool, others func(version string) bool) []rollout.TargetGroup
 	Trial(service string) (version string, share float64)
 	Barred(service string) []string
 	Sent(c rollout.Call)
@@ -30,18 +30,18 @@
 func anyTarget(*state) bool { return true }
 
 // lanes returns the groups of targets that a call may go to; nil for all.
-func (t *Table) lanes(q Query) []rollout.Lane {
+func (t *Table) lanes(q Query) []rollout.TargetGroup {
 	if t.Rollouts == nil {
 		return nil
 	}
-	return t.Rollouts.Lanes(q.Service, q.Again, func(version string) bool {
+	return t.Rollouts.TargetGroups(q.Service, q.Resent, func(version string) bool {
 		return slices.ContainsFunc(t.services[q.Service], func(s *state) bool { return s.Version != version && !s.Draining })
 	})
 }
 
 // admits returns a function that reports whether a target takes calls of a lane.
-func (t *Table) admits(service string, lane rollout.Lane, now time.Time) func(*state) bool {
-	if lane.Part <= 0 || lane.Part >= 1 {
+func (t *Table) admits(service string, lane rollout.TargetGroup, now time.Time) func(*state) bool {
+	if lane.Fraction <= 0 || lane.Fraction >= 1 {
 		return func(s *state) bool { return lane.Admits(s.Version) }
 	}
 	last := t.maxHashInPart(service, lane, now)
@@ -50,7 +50,7 @@
 
 // maxHashInPart returns the largest hash among the part of a lane's targets that takes its calls;
 // the part has at least one target. All nodes that know the same targets choose the same part.
-func (t *Table) maxHashInPart(service string, lane rollout.Lane, now time.Time) uint64 {
+func (t *Table) maxHashInPart(service string, lane rollout.TargetGroup, now time.Time) uint64 {
 	var hashes []uint64
 	for _, s := range t.services[service] {
 		if lane.Admits(s.Version) && s.usable(now) {
@@ -61,7 +61,7 @@
 		return 0
 	}
 	slices.Sort(hashes)
-	return hashes[min(int(lane.Part*float64(len(hashes))), len(hashes)-1)]
+	return hashes[min(int(lane.Fraction*float64(len(hashes))), len(hashes)-1)]
 }
 
 // recordStart records the start of a call with Rollouts. The lock is held.
@@ -75,8 +75,8 @@
 	return rollout.Call{Service: l.Service, Version: l.Version, Target: l.ID, Route: l.observed.route}
 }
 
-// Faulty records that the answer was a failure of the target.
-func (l *Lease) Faulty() {
+// MarkFaulty records that the answer was a failure of the target.
+func (l *Lease) MarkFaulty() {
 	l.t.mu.Lock()
 	defer l.t.mu.Unlock()
 	l.observed.faulty = true
@@ -88,7 +88,7 @@
 	if t.Rollouts == nil {
 		return
 	}
-	outcome := rollout.Nothing
+	outcome := rollout.Inconclusive
 	switch {
 	case l.observed.faulty, o == Failed:
 		outcome = rollout.Bad
@@ -101,7 +101,7 @@
 	}
 	if outcome != rollout.Bad && l.s.warmup.cold(now) {
 		// A cold target is slow, whatever its version: only its failures are evidence.
-		outcome = rollout.Nothing
+		outcome = rollout.Inconclusive
 	}
 	t.Rollouts.Ended(l.rolloutCall(), outcome, took)
 }
@@ -161,21 +161,21 @@
 	return rollout.Call{Service: to.Service, Version: to.Version, Target: to.ID, Route: stageRoute}
 }
 
-// StageCalled records the start of a call of a stage pool with Rollouts.
-func (t *Table) StageCalled(to Target) {
+// RecordStageCallStart records the start of a call of a stage pool with Rollouts.
+func (t *Table) RecordStageCallStart(to Target) {
 	if t.Rollouts != nil {
 		t.Rollouts.Sent(stageRolloutCall(to))
 	}
 }
 
-// StageEnded records the end of a call of a stage pool with Rollouts, with its outcome as evidence
+// RecordStageCallEnd records the end of a call of a stage pool with Rollouts, with its outcome as evidence
 // on the target's version. Outcomes of a cold target other than Bad count as Nothing.
-func (t *Table) StageEnded(to Target, o rollout.Outcome, took time.Duration) {
+func (t *Table) RecordStageCallEnd(to Target, o rollout.Outcome, took time.Duration) {
 	if t.Rollouts == nil {
 		return
 	}
 	if o != rollout.Bad && to.Warmup > 0 {
-		o = rollout.Nothing
+		o = rollout.Inconclusive
 	}
 	t.Rollouts.Ended(stageRolloutCall(to), o, took)
 }
--- a/internal/targets/said.go
+++ b/internal/targets/said.go
@@ -26,7 +26,7 @@
 	switch {
 	case entry.Draining:
 		s.drainRevision = entry.Revision
-	case !s.drainRevision.IsZero() && entry.Revision.Predates(s.drainRevision):
+	case !s.drainRevision.IsZero() && entry.Revision.MayPrecede(s.drainRevision):
 		return true
 	default:
 		s.drainRevision = store.Version{}
@@ -62,7 +62,7 @@
 	}
 	t.prunedAt = now
 	for process, s := range t.reported {
-		if t.byProcess[process] == nil && (!s.Said() && !s.limit.limited() && s.drainRevision.IsZero() || now.Sub(s.listedAt) > reportedRetention) {
+		if t.byProcess[process] == nil && (!s.HasReported() && !s.limit.limited() && s.drainRevision.IsZero() || now.Sub(s.listedAt) > reportedRetention) {
 			delete(t.reported, process)
 		}
 	}
@@ -73,13 +73,13 @@
 	Notice readiness.Notice
 	// Rejected is set if the target rejected the call.
 	Rejected bool
-	// Began is when the call began: the time that Table.Began returned for it, or that of the
+	// BeginCall is when the call began: the time that Table.BeginCall returned for it, or that of the
 	// choice of its Lease.
 	Began time.Time
 }
 
-// Heard updates the readiness of a process from an answer, and returns what changed.
-func (t *Table) Heard(process string, a Answer) readiness.Change {
+// UpdateReadiness updates the readiness of a process from an answer, and returns what changed.
+func (t *Table) UpdateReadiness(process string, a Answer) readiness.Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.reported[process]
@@ -90,36 +90,36 @@
 }
 
 func (t *Table) updateReadiness(s *readiness.State, a Answer) readiness.Change {
-	change := s.Hear(a.Notice, a.Rejected, t.now())
+	change := s.Update(a.Notice, a.Rejected, t.now())
 	if !a.Rejected {
-		s.Took(a.Began)
+		s.Accepted(a.Began)
 	}
 	return change
 }
 
-// Began records the start of a call to a process without a Lease, and returns its time.
-func (t *Table) Began(process string) time.Time {
+// BeginCall records the start of a call to a process without a Lease, and returns its time.
+func (t *Table) BeginCall(process string) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
 	if s := t.reported[process]; s != nil {
-		s.Begin(now)
+		s.CallStarted(now)
 	}
 	return now
 }
 
-// EndedUnheard records that a call that Began started has ended without an answer.
-func (t *Table) EndedUnheard(process string, began time.Time) {
+// EndCallWithoutAnswer records that a call that Began started has ended without an answer.
+func (t *Table) EndCallWithoutAnswer(process string, began time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.reported[process]; s != nil {
-		s.Lost(began)
+		s.Unanswered(began)
 	}
 }
 
-// Heard updates the readiness of the target's process from the answer to the call, and returns
+// UpdateReadiness updates the readiness of the target's process from the answer to the call, and returns
 // what changed.
-func (l *Lease) Heard(n readiness.Notice, rejected bool) readiness.Change {
+func (l *Lease) UpdateReadiness(n readiness.Notice, rejected bool) readiness.Change {
 	l.t.mu.Lock()
 	defer l.t.mu.Unlock()
 	return l.t.updateReadiness(l.s.ready, Answer{Notice: n, Rejected: rejected, Began: l.began})
@@ -154,13 +154,13 @@
 // call of a target may be sent while the target rests for all other calls. The lock is held.
 func (t *Table) maySend(s *state, began time.Time) bool {
 	now := t.now()
-	return s != nil && s.usable(now) && s.ready.Admits(began, now)
+	return s != nil && s.usable(now) && s.ready.MaySend(began, now)
 }
 
-// Opens returns the earliest time at which a target of a service in some regions may be called;
+// AvailableAt returns the earliest time at which a target of a service in some regions may be called;
 // zero for now, or if the trial call of a target is in progress. ok is false if no target there is
 // usable.
-func (t *Table) Opens(service string, in region.Set) (at time.Time, ok bool) {
+func (t *Table) AvailableAt(service string, in region.Set) (at time.Time, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
@@ -168,7 +168,7 @@
 		if !s.usable(now) || !t.Regions.Allows(in, s.DataCentre) {
 			continue
 		}
-		availableAt := s.ready.Opens(now)
+		availableAt := s.ready.AvailableAt(now)
 		if t.lacksPermit(s, now) && s.reported.limit.availableAt.After(availableAt) {
 			availableAt = s.reported.limit.availableAt
 		}
@@ -182,28 +182,28 @@
 	return at, ok
 }
 
-// Standing returns whether a process takes work, as it reported, and until when it rests; zero if
+// Status returns whether a process takes work, as it reported, and until when it rests; zero if
 // it does not rest, or if its trial call is in progress.
-func (t *Table) Standing(process string) (readiness.Standing, time.Time) {
+func (t *Table) Status(process string) (readiness.Status, time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, now := t.reported[process], t.now()
 	if s == nil {
 		return readiness.Open, time.Time{}
 	}
-	return s.Standing(now), s.Opens(now)
+	return s.Status(now), s.AvailableAt(now)
 }
 
-// RestAt returns for how long the target at an address asked to get no work from now on; 0 if it
+// RemainingRest returns for how long the target at an address asked to get no work from now on; 0 if it
 // does not rest.
-func (t *Table) RestAt(addr string) time.Duration {
+func (t *Table) RemainingRest(addr string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, now := t.at(addr), t.now()
 	if s == nil {
 		return 0
 	}
-	if opens := s.ready.Opens(now); !opens.IsZero() {
+	if opens := s.ready.AvailableAt(now); !opens.IsZero() {
 		return opens.Sub(now)
 	}
 	return 0
--- a/internal/targets/said_test.go
+++ b/internal/targets/said_test.go
@@ -13,7 +13,7 @@
 	"topazmoor/internal/store"
 )
 
-// What a process reported holds whatever later lists contain, also if its entry was missing for a
+// Kind a process reported holds whatever later lists contain, also if its entry was missing for a
 // while. Another process, at the same address or under the same ID, does not inherit it.
 func TestWordOfATargetGoesBeforeItsList(t *testing.T) {
 	c := qt.New(t)
@@ -21,24 +21,24 @@
 	e.Born = 1000
 	tb, now := newTable(e)
 	l := tb.Pick(Query{Service: "engines"})
-	c.Assert(l.Heard(readiness.Notice{Leaving: true}, false), qt.Equals, readiness.BeganToLeave)
+	c.Assert(l.UpdateReadiness(readiness.Notice{Leaving: true}, false), qt.Equals, readiness.StartedLeaving)
 	l.Done(Served, 0)
 	c.Assert(l.MaySend(), qt.IsFalse)
 	for range 3 {
 		now.at = now.at.Add(5 * time.Second)
-		tb.Update([]Target{e}, time.Time{})
+		tb.Replace([]Target{e}, time.Time{})
 		c.Assert(tb.Pick(Query{Service: "engines"}), qt.IsNil)
 		c.Assert(tb.Usable("engines"), qt.HasLen, 0)
-		tb.Update(nil, time.Time{})
+		tb.Replace(nil, time.Time{})
 	}
-	_, ok := tb.Opens("engines", region.Set{})
+	_, ok := tb.AvailableAt("engines", region.Set{})
 	c.Assert(ok, qt.IsFalse)
 
 	again := e
 	again.Born = 2000
 	other := engine(2, "dc1")
 	other.Addr = e.Addr
-	tb.Update([]Target{again, other}, time.Time{})
+	tb.Replace([]Target{again, other}, time.Time{})
 	c.Assert(tb.Usable("engines"), qt.HasLen, 2)
 }
 
@@ -46,11 +46,11 @@
 func TestWordsOfProcessesThatAreGoneAreForgotten(t *testing.T) {
 	c := qt.New(t)
 	tb, now := newTable(engines(3)...)
-	tb.Heard(engine(0, "dc1").Process(), Answer{Notice: readiness.Notice{Leaving: true}})
-	tb.Update(nil, time.Time{})
+	tb.UpdateReadiness(engine(0, "dc1").Process(), Answer{Notice: readiness.Notice{Leaving: true}})
+	tb.Replace(nil, time.Time{})
 	c.Assert(tb.reported, qt.HasLen, 1)
 	now.at = now.at.Add(reportedRetention + time.Second)
-	tb.Update(nil, time.Time{})
+	tb.Replace(nil, time.Time{})
 	c.Assert(tb.reported, qt.HasLen, 0)
 }
 
@@ -61,12 +61,12 @@
 	tb, now := newTable(engines(2)...)
 	for range 2 {
 		l := tb.Pick(Query{Service: "engines"})
-		l.Heard(readiness.Notice{Rest: 3 * time.Second}, true)
+		l.UpdateReadiness(readiness.Notice{Rest: 3 * time.Second}, true)
 		l.Done(Busy, 0)
 		now.at = now.at.Add(time.Second)
 	}
 	c.Assert(tb.Pick(Query{Service: "engines"}), qt.IsNil)
-	at, ok := tb.Opens("engines", region.Set{})
+	at, ok := tb.AvailableAt("engines", region.Set{})
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(at.Sub(now.at), qt.Equals, time.Second)
 	now.at = at
@@ -74,15 +74,15 @@
 	c.Assert(trial, qt.IsNotNil)
 	c.Assert(trial.MaySend(), qt.IsTrue)
 	c.Assert(tb.Pick(Query{Service: "engines"}), qt.IsNil)
-	trial.Heard(readiness.Notice{}, false)
+	trial.UpdateReadiness(readiness.Notice{}, false)
 	trial.Done(Served, 0)
 	now.at = now.at.Add(2 * time.Second)
 	for range 5 {
-		l := tb.Pick(Query{Service: "engines", Again: true})
+		l := tb.Pick(Query{Service: "engines", Resent: true})
 		c.Assert(l.ID, qt.Equals, trial.ID)
 		l.Done(Abandoned, 0)
 	}
-	c.Assert(tb.RestAt(trial.Addr), qt.Equals, time.Duration(0))
+	c.Assert(tb.RemainingRest(trial.Addr), qt.Equals, time.Duration(0))
 }
 
 // A call is not sent if its target reported, after it was chosen, that it leaves or rests.
@@ -92,7 +92,7 @@
 		tb, _ := newTable(engines(1)...)
 		waits, speaks := tb.Pick(Query{Service: "engines"}), tb.Pick(Query{Service: "engines"})
 		c.Assert(waits.MaySend(), qt.IsTrue)
-		speaks.Heard(n, true)
+		speaks.UpdateReadiness(n, true)
 		c.Assert(waits.MaySend(), qt.IsFalse)
 		c.Assert(tb.MaySend(waits.Process(), waits.began, sharedrate.Permit{}), qt.IsFalse)
 	}
@@ -107,15 +107,15 @@
 	tb, _ := newTable(ready)
 	drains := ready
 	drains.Draining, drains.Revision = true, store.Version{Number: 9}
-	tb.Update([]Target{drains}, time.Time{})
-	tb.Update(nil, time.Time{})
+	tb.Replace([]Target{drains}, time.Time{})
+	tb.Replace(nil, time.Time{})
 	copied := ready
 	copied.Revision.Era = 1
-	tb.Update([]Target{copied}, time.Time{})
+	tb.Replace([]Target{copied}, time.Time{})
 	c.Assert(tb.MayCall(ready.ID), qt.IsFalse)
 	written := ready
 	written.Revision = store.Version{Era: 1, Number: 10}
-	tb.Update([]Target{written}, time.Time{})
+	tb.Replace([]Target{written}, time.Time{})
 	c.Assert(tb.MayCall(ready.ID), qt.IsTrue)
 }
 
@@ -127,7 +127,7 @@
 	open := ""
 	for range 7 {
 		l := tb.Pick(Query{Service: "engines"})
-		l.Heard(readiness.Notice{Rest: time.Second}, true)
+		l.UpdateReadiness(readiness.Notice{Rest: time.Second}, true)
 		l.Done(Busy, 0)
 	}
 	l := tb.Pick(Query{Service: "engines"})
@@ -135,9 +135,9 @@
 	l.Done(Abandoned, 0)
 	now.at = now.at.Add(time.Second)
 	for range 8 {
-		c.Assert(tb.Pick(Query{Service: "engines", Again: true}).ID, qt.Equals, open)
+		c.Assert(tb.Pick(Query{Service: "engines", Resent: true}).ID, qt.Equals, open)
 	}
-	c.Assert(tb.Pick(Query{Service: "engines", Again: true, Exclude: []string{open}}), qt.IsNotNil)
+	c.Assert(tb.Pick(Query{Service: "engines", Resent: true, Exclude: []string{open}}), qt.IsNotNil)
 }
 
 // No prompt is copied from a resting target.
@@ -147,12 +147,12 @@
 	prompt := []promptcache.Prefix{{Hash: 7, Tokens: 5000}, {Hash: 8, Tokens: 5100}}
 	q := Query{Service: "engines", Engine: &EngineQuery{Affinity: 7, Tokens: 5100, Shared: 5000, Prompt: prompt}}
 	first := tb.Pick(q)
-	first.PromptRead()
+	first.MarkPromptRead()
 	first.Done(Served, 0)
 	q.Exclude = []string{first.ID}
 	second := tb.Pick(q)
 	c.Assert(second.CopyFrom, qt.Equals, first.Addr)
 	second.Done(Abandoned, 0)
-	tb.Heard(first.Process(), Answer{Notice: readiness.Notice{Rest: time.Second}, Rejected: true})
+	tb.UpdateReadiness(first.Process(), Answer{Notice: readiness.Notice{Rest: time.Second}, Rejected: true})
 	c.Assert(tb.Pick(q).CopyFrom, qt.Not(qt.Equals), first.Addr)
 }
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -130,7 +130,7 @@
 	// drained are the data centres that get no work.
 	drained map[string]bool
 	// prompts records which engines read which prompts.
-	prompts *promptcache.Memory
+	prompts *promptcache.Index
 	// generation counts the changes of the list and of the drained data centres.
 	generation uint64
 	// received is set once a list was received.
@@ -151,30 +151,30 @@
 // Change is the effect of an update of the list on one target, for logs.
 type Change struct {
 	ID, Addr, Service string
-	// What is added, restarted (under the ID that it had), draining, cold, kept (lapsed but
+	// Kind is added, restarted (under the ID that it had), draining, cold, kept (lapsed but
 	// still used) or gone.
-	What string
+	Kind string
 }
 
-// News is an update of the list.
-type News struct {
-	// Listed are entries that are new or changed.
-	Listed []Target
-	// Gone are the IDs of targets that are not listed any more.
-	Gone []string
+// ListUpdate is an update of the list.
+type ListUpdate struct {
+	// Updated are entries that are new or changed.
+	Updated []Target
+	// Removed are the IDs of targets that are not listed any more.
+	Removed []string
 }
 
-// Update replaces the whole list; see Table.Change.
-func (t *Table) Update(list []Target, regained time.Time) (changes []Change, gone []string) {
+// Replace replaces the whole list; see Table.Change.
+func (t *Table) Replace(list []Target, regained time.Time) (changes []Change, gone []string) {
 	listed := make(map[string]bool, len(list))
 	for _, target := range list {
 		listed[target.ID] = true
 	}
-	update := News{Listed: list}
+	update := ListUpdate{Updated: list}
 	t.mu.Lock()
 	for id := range t.byID {
 		if !listed[id] {
-			update.Gone = append(update.Gone, id)
+			update.Removed = append(update.Removed, id)
 		}
 	}
 	t.mu.Unlock()
@@ -184,22 +184,22 @@
 // Change applies an update of the list, in time proportional to the size of the update. regained is
 // when the store last became available again. It returns what changed, and the addresses of
 // processes that are gone.
-func (t *Table) Change(n News, regained time.Time) (changes []Change, gone []string) {
+func (t *Table) Change(n ListUpdate, regained time.Time) (changes []Change, gone []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.received = true
 	t.generation++
 	now := t.now()
-	for _, target := range n.Listed {
+	for _, target := range n.Updated {
 		c, changed := t.upsert(target, now)
 		if changed {
 			changes = append(changes, c)
 		}
-		if c.What == restarted {
+		if c.Kind == restarted {
 			gone = append(gone, c.Addr)
 		}
 	}
-	for _, id := range n.Gone {
+	for _, id := range n.Removed {
 		s := t.byID[id]
 		if s == nil || t.lapsed[id] != nil {
 			continue
@@ -224,7 +224,7 @@
 }
 
 func change(s *state, what string) Change {
-	return Change{ID: s.ID, Addr: s.Addr, Service: s.Service, What: what}
+	return Change{ID: s.ID, Addr: s.Addr, Service: s.Service, Kind: what}
 }
 
 const restarted = "restarted"
@@ -315,8 +315,8 @@
 	return found
 }
 
-// Seen reports whether a list was received.
-func (t *Table) Seen() bool {
+// ListReceived reports whether a list was received.
+func (t *Table) ListReceived() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.received
@@ -327,7 +327,7 @@
 
 // usable reports whether a target may get work, now or after a rest.
 func (s *state) usable(now time.Time) bool {
-	if s.Draining || s.moved || s.drained || s.ready.Standing(now) == readiness.Leaving {
+	if s.Draining || s.moved || s.drained || s.ready.Status(now) == readiness.Leaving {
 		return false
 	}
 	return s.dropAt.IsZero() || now.Before(s.dropAt)
@@ -388,7 +388,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, now := t.byID[id], t.now()
-	return s != nil && s.usable(now) && s.ready.Standing(now) != readiness.Resting
+	return s != nil && s.usable(now) && s.ready.Status(now) != readiness.Resting
 }
 
 // DataCentreOf returns the data centre of the target at an address; "" for unknown.
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -21,7 +21,7 @@
 	c := &clock{at: time.Date(2026, 3, 5, 0, 0, 0, 0, time.UTC)}
 	t := New("dc1")
 	t.now = func() time.Time { return c.at }
-	t.Update(list, time.Time{})
+	t.Replace(list, time.Time{})
 	return t, c
 }
 
@@ -45,7 +45,7 @@
 	other := engines(2)[1-int(l.ID[1]-'0')]
 	left := l.Target
 	left.Draining = true
-	tb.Update([]Target{left, other}, time.Time{})
+	tb.Replace([]Target{left, other}, time.Time{})
 	// A call for which the target was chosen before must not be sent either.
 	c.Assert(tb.MayCall(l.ID), qt.IsFalse)
 	for range 20 {
@@ -57,14 +57,14 @@
 	c := qt.New(t)
 	tb, now := newTable(engines(1)...)
 	regained := now.at
-	changes, gone := tb.Update(nil, regained)
+	changes, gone := tb.Replace(nil, regained)
 	c.Assert(changes, qt.HasLen, 1)
-	c.Assert(changes[0].What, qt.Equals, "kept")
+	c.Assert(changes[0].Kind, qt.Equals, "kept")
 	c.Assert(gone, qt.HasLen, 0)
 	c.Assert(tb.Pick(Query{Service: "engines"}), qt.IsNotNil)
 	now.at = regained.Add(lapseGrace)
 	c.Assert(tb.Pick(Query{Service: "engines"}), qt.IsNil)
-	_, gone = tb.Update(nil, regained)
+	_, gone = tb.Replace(nil, regained)
 	c.Assert(gone, qt.DeepEquals, []string{"10.0.0.0:1"})
 }
 
@@ -72,7 +72,7 @@
 	c := qt.New(t)
 	tb, now := newTable(engines(1)...)
 	now.at = now.at.Add(time.Hour)
-	_, gone := tb.Update(nil, now.at.Add(-time.Minute))
+	_, gone := tb.Replace(nil, now.at.Add(-time.Minute))
 	c.Assert(gone, qt.HasLen, 1)
 	c.Assert(tb.Pick(Query{Service: "engines"}), qt.IsNil)
 }
@@ -104,14 +104,14 @@
 	tb, _ := newTable(engines(12)...)
 	q := Query{Service: "engines", Engine: &EngineQuery{Affinity: 7, Tokens: 9000, Shared: 6300}}
 	first := tb.Pick(q)
-	first.PromptRead()
+	first.MarkPromptRead()
 	for range 5 {
 		l := tb.Pick(q)
 		c.Assert(l.ID, qt.Equals, first.ID)
-		l.PromptRead()
+		l.MarkPromptRead()
 		l.Done(Served, 0)
 	}
-	c.Assert(tb.Home("engines", 7, 0, region.Set{}), qt.Equals, first.DataCentre)
+	c.Assert(tb.PreferredDataCentre("engines", 7, 0, region.Set{}), qt.Equals, first.DataCentre)
 	// Many calls there cost more than to read the prompt elsewhere.
 	for range 30 {
 		first.s.inFlight++
@@ -119,7 +119,7 @@
 	second := tb.Pick(q)
 	c.Assert(second.ID, qt.Not(qt.Equals), first.ID)
 	// The calls that the first engine cannot take go to one other engine.
-	second.PromptRead()
+	second.MarkPromptRead()
 	second.Done(Served, 0)
 	c.Assert(tb.Pick(q).ID, qt.Equals, second.ID)
 }
@@ -128,7 +128,7 @@
 	c := qt.New(t)
 	tb, _ := newTable(engines(12)...)
 	for i := range 20 {
-		q := &EngineQuery{Affinity: uint64(i), Tokens: 700, Shared: 170, Inputs: map[string]int64{"dc2": 3 << 20}}
+		q := &EngineQuery{Affinity: uint64(i), Tokens: 700, Shared: 170, InputBytes: map[string]int64{"dc2": 3 << 20}}
 		l := tb.Pick(Query{Service: "engines", Engine: q})
 		c.Assert(l.DataCentre, qt.Equals, "dc2")
 		l.Done(Served, 0)
@@ -145,14 +145,14 @@
 		}
 		q := &EngineQuery{
 			Affinity: rapid.Uint64Range(1, 50).Draw(rt, "affinity"), Shared: rapid.IntRange(0, 8000).Draw(rt, "shared"),
-			Inputs: map[string]int64{"dc1": rapid.Int64Range(0, 4<<20).Draw(rt, "here"), "dc2": rapid.Int64Range(0, 4<<20).Draw(rt, "there")},
+			InputBytes: map[string]int64{"dc1": rapid.Int64Range(0, 4<<20).Draw(rt, "here"), "dc2": rapid.Int64Range(0, 4<<20).Draw(rt, "there")},
 		}
 		cands := tb.candidates(Query{Service: "engines"}, now.at)
 		got := tb.bestEngine(q, cands, now.at, 0)
 		first, second := preferred(q.Affinity, cands)
 		cost := func(s *state) float64 {
 			c := callTokens*float64(s.inFlight) + pendingShare*float64(s.pending)
-			for dc, bytes := range q.Inputs {
+			for dc, bytes := range q.InputBytes {
 				if dc != s.DataCentre {
 					c += float64(bytes) / bytesPerToken
 				}
@@ -187,7 +187,7 @@
 	c := qt.New(t)
 	tb, _ := newTable(engines(6)...)
 	l := tb.Pick(Query{Service: "engines", Engine: queryOf(10)})
-	l.PromptRead()
+	l.MarkPromptRead()
 	// The engine that read it has it in its cache: nothing is copied.
 	again := tb.Pick(Query{Service: "engines", Engine: queryOf(11)})
 	c.Assert(again.ID, qt.Equals, l.ID)
@@ -195,7 +195,7 @@
 	// Another engine copies it, from an engine in its own data centre if there is one.
 	other := tb.Pick(Query{Service: "engines", Exclude: []string{l.ID}, Engine: queryOf(12)})
 	c.Assert(other.CopyFrom, qt.Equals, l.Addr)
-	other.PromptRead()
+	other.MarkPromptRead()
 	third := tb.Pick(Query{Service: "engines", Exclude: []string{l.ID, other.ID}, Engine: queryOf(13)})
 	c.Assert(third.CopyFrom, qt.Not(qt.Equals), "")
 	if third.DataCentre == other.DataCentre {
@@ -210,10 +210,10 @@
 	c := qt.New(t)
 	tb, _ := newTable(engines(4)...)
 	l := tb.Pick(Query{Service: "engines", Engine: queryOf(10)})
-	l.PromptRead()
+	l.MarkPromptRead()
 	l.Done(Unreachable, 0)
 	left := slices.DeleteFunc(engines(4), func(e Target) bool { return e.ID == l.ID })
-	tb.Update(left, time.Time{})
+	tb.Replace(left, time.Time{})
 	next := tb.Pick(Query{Service: "engines", Engine: queryOf(10)})
 	c.Assert(next.CopyFrom, qt.Not(qt.Equals), l.Addr)
 }
@@ -222,7 +222,7 @@
 	for _, n := range []int{12, 100, 670} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			tb, _ := newTable(engines(n)...)
-			q := Query{Service: "engines", Engine: &EngineQuery{Affinity: 7, Tokens: 9000, Shared: 6300, Inputs: map[string]int64{"dc1": 3 << 20}}}
+			q := Query{Service: "engines", Engine: &EngineQuery{Affinity: 7, Tokens: 9000, Shared: 6300, InputBytes: map[string]int64{"dc1": 3 << 20}}}
 			b.ReportAllocs()
 			for b.Loop() {
 				tb.Pick(q).Done(Abandoned, 0)
--- a/internal/targets/warmup_test.go
+++ b/internal/targets/warmup_test.go
@@ -42,7 +42,7 @@
 		name := fmt.Sprint("node-", i)
 		l := sharedrate.New(sharedrate.Config{
 			Self: sharedrate.Node{Name: name, Addr: name}, Log: slog.New(slog.DiscardHandler),
-			Ask: func(_ context.Context, addr string, a sharedrate.Ask) (sharedrate.Grant, error) {
+			PermitRequest: func(_ context.Context, addr string, a sharedrate.PermitRequest) (sharedrate.Grant, error) {
 				time.Sleep(oneWayDelay)
 				g := limiters[addr].Grant(a)
 				time.Sleep(oneWayDelay)
@@ -66,7 +66,7 @@
 	}
 	time.Sleep(settleTime)
 	for _, t := range f.tables {
-		t.Update(coldEngines(1), time.Time{})
+		t.Replace(coldEngines(1), time.Time{})
 	}
 	f.began = time.Now()
 	return f
@@ -195,15 +195,15 @@
 		c.Assert(f.callAtOnce(t, 20), qt.Equals, 20)
 		// A new revision of its entry makes the engine cold again. Calls that its rate allowed just
 		// before, and that were not made, may be made up for.
-		changes, _ := f.tables[0].Update(coldEngines(2), time.Time{})
+		changes, _ := f.tables[0].Replace(coldEngines(2), time.Time{})
 		c.Assert(changes, qt.HasLen, 1)
-		c.Assert(changes[0].What, qt.Equals, "cold")
+		c.Assert(changes[0].Kind, qt.Equals, "cold")
 		made := f.callAtOnce(t, 20)
 		c.Assert(made >= 1 && made <= 3, qt.IsTrue, qt.Commentf("%d", made))
 		// A list with the same revision does not make the engine cold again: Warmup counts from
 		// when the entry was written.
 		time.Sleep(coldTime)
-		f.tables[0].Update(coldEngines(2), time.Time{})
+		f.tables[0].Replace(coldEngines(2), time.Time{})
 		c.Assert(f.callAtOnce(t, 20), qt.Equals, 20)
 		time.Sleep(time.Minute)
 	})
--- a/internal/watch/copy.go
+++ b/internal/watch/copy.go
@@ -156,20 +156,20 @@
 	return xxhash.Sum64(binary.BigEndian.AppendUint64(buf, uint64(r.Version.Number)))
 }
 
-// Anew is the version that a follower sends to have its copy replaced by the current whole table,
+// ResetVersion is the version that a follower sends to have its copy replaced by the current whole table,
 // as its rows differ.
-var Anew = store.Version{Number: -2}
+var ResetVersion = store.Version{Number: -2}
 
 // wholeMaxAge is for how long Tell reuses an update with the whole table. While all nodes and targets
 // start, the table changes many times a second, and one would be built for each of the many nodes
 // that ask.
 const wholeMaxAge = 2 * time.Second
 
-// Tell is like Since, but may return a cached update with the whole table, at most wholeMaxAge old. The
+// CachedSince is like Since, but may return a cached update with the whole table, at most wholeMaxAge old. The
 // position is that of the update, and the next call continues from there.
-func (c *Copy) Tell(version store.Version) (*News, Position) {
+func (c *Copy) CachedSince(version store.Version) (*News, Position) {
 	c.mu.Lock()
-	if c.rows != nil && version != Anew && version.Before(c.base) {
+	if c.rows != nil && version != ResetVersion && version.Before(c.base) {
 		defer c.mu.Unlock()
 		return c.wholeUpdate(wholeMaxAge), c.wholeAt
 	}
--- a/internal/watch/copy_test.go
+++ b/internal/watch/copy_test.go
@@ -77,7 +77,7 @@
 	}
 	news, at := lead.Since(since)
 	if news != nil {
-		if err := f.Take(*news); err != nil {
+		if err := f.ApplyUpdate(*news); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -111,13 +111,13 @@
 func TestNewsThatDoNotGoOnWhereTheCopyEndsAreRefused(t *testing.T) {
 	c := qt.New(t)
 	f := &Table{Apply: func(View) {}}
-	c.Assert(f.Take(News{Since: store.Version{Number: 3}, Version: store.Version{Number: 4}}), qt.Equals, ErrGap)
-	c.Assert(f.Take(News{Whole: true, Version: store.Version{Number: 5}, Rows: []store.Row{{Key: "a", Version: store.Version{Number: 5}}}}), qt.IsNil)
-	c.Assert(f.Take(News{Since: store.Version{Number: 6}, Version: store.Version{Number: 7}}), qt.Equals, ErrGap)
+	c.Assert(f.ApplyUpdate(News{Since: store.Version{Number: 3}, Version: store.Version{Number: 4}}), qt.Equals, ErrGap)
+	c.Assert(f.ApplyUpdate(News{Whole: true, Version: store.Version{Number: 5}, Rows: []store.Row{{Key: "a", Version: store.Version{Number: 5}}}}), qt.IsNil)
+	c.Assert(f.ApplyUpdate(News{Since: store.Version{Number: 6}, Version: store.Version{Number: 7}}), qt.Equals, ErrGap)
 	// An update older than the copy is dropped.
-	c.Assert(f.Take(News{Whole: true, Version: store.Version{Number: 4}}), qt.IsNil)
+	c.Assert(f.ApplyUpdate(News{Whole: true, Version: store.Version{Number: 4}}), qt.IsNil)
 	c.Assert(f.Copy().Rows(), qt.HasLen, 1)
-	c.Assert(f.Compare(Position{Version: store.Version{Number: 6}}), qt.Equals, ErrDiffers)
+	c.Assert(f.Compare(Position{Version: store.Version{Number: 6}}), qt.Equals, ErrCopiesDiffer)
 	c.Assert(f.Compare(Position{Version: store.Version{Number: 4}}), qt.IsNil)
 }
 
@@ -129,20 +129,20 @@
 	lead.replace([]store.Row{{Key: "a", Version: store.Version{Number: 8}}}, store.Version{Number: 9})
 	follower := &Table{Apply: func(View) {}, Log: slog.New(slog.DiscardHandler)}
 	behind, _ := lead.Since(store.Version{Number: -1})
-	c.Assert(follower.Take(*behind), qt.IsNil)
+	c.Assert(follower.ApplyUpdate(*behind), qt.IsNil)
 	lead.replace([]store.Row{{Key: "b", Version: store.Version{Era: 1, Number: 3}}}, store.Version{Era: 1, Number: 5})
 	news, at := lead.Since(follower.copy.Position().Version)
 	c.Assert(news.Whole, qt.IsTrue)
-	c.Assert(follower.Compare(at), qt.Equals, ErrDiffers)
-	c.Assert(follower.Take(*news), qt.IsNil)
+	c.Assert(follower.Compare(at), qt.Equals, ErrCopiesDiffer)
+	c.Assert(follower.ApplyUpdate(*news), qt.IsNil)
 	c.Assert(follower.Compare(at), qt.IsNil)
 	c.Assert(follower.copy.Rows(), qt.HasLen, 1)
 	// The update of the earlier era is dropped.
-	c.Assert(follower.Take(*behind), qt.IsNil)
+	c.Assert(follower.ApplyUpdate(*behind), qt.IsNil)
 	c.Assert(follower.copy.Position(), qt.Equals, at)
 	// Copies with the same rows in different eras differ.
 	same := Position{Version: store.Version{Era: 2, Number: 5}, Sum: at.Sum}
-	c.Assert(follower.Compare(same), qt.Equals, ErrDiffers)
+	c.Assert(follower.Compare(same), qt.Equals, ErrCopiesDiffer)
 	none, _ := lead.Since(store.Version{Era: 2, Number: 1})
 	c.Assert(none, qt.IsNil)
 }
@@ -154,10 +154,10 @@
 	var view View
 	table := &Table{Apply: func(v View) { view = v }, Log: slog.New(slog.DiscardHandler)}
 	c.Assert(table.applySnapshot(store.Snapshot{Version: store.Version{Number: 9}}), qt.IsNil)
-	c.Assert(view.Regained.IsZero(), qt.IsTrue)
+	c.Assert(view.RestoredAt.IsZero(), qt.IsTrue)
 	c.Assert(table.applySnapshot(store.Snapshot{Version: store.Version{Era: 1, Number: 5}}), qt.IsNil)
-	first := view.Regained
+	first := view.RestoredAt
 	c.Assert(first.IsZero(), qt.IsFalse)
-	c.Assert(table.Take(News{Whole: true, Version: store.Version{Era: 2, Number: 5}}), qt.IsNil)
-	c.Assert(view.Regained.After(first), qt.IsTrue)
+	c.Assert(table.ApplyUpdate(News{Whole: true, Version: store.Version{Era: 2, Number: 5}}), qt.IsNil)
+	c.Assert(view.RestoredAt.After(first), qt.IsTrue)
 }
--- a/internal/watch/explore_test.go
+++ b/internal/watch/explore_test.go
@@ -20,7 +20,7 @@
 type explorer struct {
 	t     *testing.T
 	m     *store.Memory
-	saved *store.Saved
+	saved *store.Backup
 	// writes and returns count the writes and the restores of the store, as both are bounded.
 	writes, returns int
 	lead, follower  *Table
@@ -163,7 +163,7 @@
 		i := int(rest[0] - '0')
 		w := x.messages[i]
 		x.messages = slices.Delete(slices.Clone(x.messages), i, i+1)
-		if w.news != nil && x.follower.Take(*w.news) != nil {
+		if w.news != nil && x.follower.ApplyUpdate(*w.news) != nil {
 			return
 		}
 		// After an error the follower would ask for the whole table; the error itself is not checked.
@@ -222,7 +222,7 @@
 		if x.follower.copy.Rows() == nil {
 			news, at = x.lead.copy.Since(store.Version{Number: -1})
 		}
-		if news != nil && x.follower.Take(*news) == nil && x.follower.Compare(at) == nil {
+		if news != nil && x.follower.ApplyUpdate(*news) == nil && x.follower.Compare(at) == nil {
 			break
 		}
 	}
--- a/internal/watch/history_test.go
+++ b/internal/watch/history_test.go
@@ -66,7 +66,7 @@
 			oldest := time.Duration(0)
 			for range 800 {
 				time.Sleep(10 * time.Millisecond)
-				oldest = max(oldest, time.Since(table.LastHeard()))
+				oldest = max(oldest, time.Since(table.LastAnswer()))
 			}
 			qt.Check(t, oldest < readTime+maxRetry+100*time.Millisecond, qt.IsTrue, qt.Commentf("last answer %v ago, %d stale reads", oldest, stale))
 			qt.Check(t, table.Lost(), qt.IsFalse)
@@ -84,21 +84,21 @@
 		row := func(key string, n int64) store.Row { return store.Row{Key: key, Version: at(n)} }
 		var have Copy
 		have.replace([]store.Row{row("a", 1), row("b", 2)}, at(2))
-		first, position := have.Tell(at(-1))
+		first, position := have.CachedSince(at(-1))
 		c.Assert(position, qt.Equals, have.Position())
 		have.merge([]store.Row{row("a", 3)}, nil, at(3))
-		again, position := have.Tell(at(-1))
+		again, position := have.CachedSince(at(-1))
 		c.Assert(again, qt.Equals, first)
 		c.Assert(position.Version, qt.Equals, at(2))
-		rest, position := have.Tell(position.Version)
+		rest, position := have.CachedSince(position.Version)
 		c.Assert(rest.Rows, qt.DeepEquals, []store.Row{row("a", 3)})
 		c.Assert(position, qt.Equals, have.Position())
 		// A copy that differs needs the current table.
-		_, position = have.Tell(Anew)
+		_, position = have.CachedSince(ResetVersion)
 		c.Assert(position, qt.Equals, have.Position())
 		have.merge([]store.Row{row("a", 4)}, nil, at(4))
 		time.Sleep(wholeMaxAge)
-		_, position = have.Tell(at(-1))
+		_, position = have.CachedSince(at(-1))
 		c.Assert(position, qt.Equals, have.Position())
 	})
 }
--- a/internal/watch/relayed.go
+++ b/internal/watch/relayed.go
@@ -9,17 +9,17 @@
 // ErrGap: an update begins after the version of the copy.
 var ErrGap = errors.New("watch: changes are missing between the copy and the news")
 
-// ErrDiffers: the other copy has other rows, or is of another era.
-var ErrDiffers = errors.New("watch: the copies differ")
+// ErrCopiesDiffer: the other copy has other rows, or is of another era.
+var ErrCopiesDiffer = errors.New("watch: the copies differ")
 
-// Hold stops the table's calls to the store; another node supplies the updates (Take, Confirm). Only
+// StopPolling stops the table's calls to the store; another node supplies the updates (Take, Confirm). Only
 // a Poke still makes one call to the store.
-func (t *Table) Hold() { t.setRelayed(true) }
+func (t *Table) StopPolling() { t.setRelayed(true) }
 
-// Release makes the table call the store again, beginning at once.
-func (t *Table) Release() {
+// ResumePolling makes the table call the store again, beginning at once.
+func (t *Table) ResumePolling() {
 	if t.setRelayed(false) {
-		t.Poke()
+		t.PollNow()
 	}
 }
 
@@ -67,9 +67,9 @@
 	return false
 }
 
-// Take applies an update from the copy of another node, and drops one older than the copy. It fails
+// ApplyUpdate applies an update from the copy of another node, and drops one older than the copy. It fails
 // with ErrGap.
-func (t *Table) Take(n News) error {
+func (t *Table) ApplyUpdate(n News) error {
 	t.updateMu.Lock()
 	defer t.updateMu.Unlock()
 	version := t.copy.Position().Version
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// Heard records that the store answered another node at the given time.
-func (t *Table) Heard(at time.Time) { t.recordAnswer(at) }
+// RecordAnswer records that the store answered another node at the given time.
+func (t *Table) RecordAnswer(at time.Time) { t.recordAnswer(at) }
 
 // Compare compares the copy with the position of another node's copy, after all its updates were
 // applied, and advances the copy's version to it. It fails with ErrDiffers if that copy has other
@@ -105,7 +105,7 @@
 		return nil
 	}
 	if theirs.Sum != mine.Sum || !theirs.Version.SameEra(mine.Version) {
-		return ErrDiffers
+		return ErrCopiesDiffer
 	}
 	t.copy.advance(theirs.Version)
 	t.lastRead = time.Now()
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -57,10 +57,10 @@
 	Changed []string
 	// Version is the version of the copy.
 	Version store.Version
-	// Regained is when the store last became available again after an outage, or was restored
+	// RestoredAt is when the store last became available again after an outage, or was restored
 	// from a backup; zero for never. Shortly after it rows may be missing until their writers
 	// write them again.
-	Regained time.Time
+	RestoredAt time.Time
 }
 
 // Table keeps a copy of one table up to date. It implements suture.Service.
@@ -75,17 +75,17 @@
 	Pause func() time.Duration
 	// Apply is called with each new view, and must not modify it.
 	Apply func(View)
-	// Contact, if set, is called when the store stops or resumes answering.
-	Contact func()
-	// Lead, if set, is a table whose calls detect when the store is back; this table is poked
+	// OnAvailability, if set, is called when the store stops or resumes answering.
+	OnAvailability func()
+	// Primary, if set, is a table whose calls detect when the store is back; this table is poked
 	// then. Until then this table retries at followRetry: an outage must not cost calls for
 	// each table of each node.
-	Lead *Table
-	// Shared reports whether other nodes follow this copy. It must be set if SharedWait is. If
+	Primary *Table
+	// HasFollowers reports whether other nodes follow this copy. It must be set if SharedWait is. If
 	// it reports true, calls wait for at most SharedWait instead of Wait.
-	Shared     func() bool
-	SharedWait time.Duration
-	Log        *slog.Logger
+	HasFollowers func() bool
+	SharedWait   time.Duration
+	Log          *slog.Logger
 
 	mu sync.Mutex
 	// cancel ends the call in progress. Poke closes poked; the next call replaces it.
@@ -122,25 +122,25 @@
 // Copy returns the copy that the table keeps.
 func (t *Table) Copy() *Copy { return &t.copy }
 
-// LastHeard returns when the store last answered; zero for never, or not since Distrust.
-func (t *Table) LastHeard() time.Time {
+// LastAnswer returns when the store last answered; zero for never, or not since Distrust.
+func (t *Table) LastAnswer() time.Time {
 	if at := t.lastAnswer.Load(); at != nil {
 		return *at
 	}
 	return time.Time{}
 }
 
-// Distrust discards the time of the store's last answer and calls the store at once. It is for a
+// Invalidate discards the time of the store's last answer and calls the store at once. It is for a
 // host that was suspended: answers on calls that were open then may be as old as the suspension.
-func (t *Table) Distrust() {
+func (t *Table) Invalidate() {
 	t.distrusts.Add(1)
 	t.lastAnswer.Store(nil)
-	t.Poke()
+	t.PollNow()
 }
 
-// Doubt returns the number of calls of Distrust so far. A caller that begins to fetch the copy
+// Invalidations returns the number of calls of Distrust so far. A caller that begins to fetch the copy
 // passes it to Confirm when the fetch is complete.
-func (t *Table) Doubt() int64 { return t.distrusts.Load() }
+func (t *Table) Invalidations() int64 { return t.distrusts.Load() }
 
 // Confirm records that the copy matches the store, by an answer to a request that began when Doubt
 // returned distrusts.
@@ -153,21 +153,21 @@
 	}
 }
 
-// Trusted reports whether the copy was confirmed since the last Distrust.
-func (t *Table) Trusted() bool { return t.confirmed.Load() >= t.distrusts.Load() }
+// Confirmed reports whether the copy was confirmed since the last Distrust.
+func (t *Table) Confirmed() bool { return t.confirmed.Load() >= t.distrusts.Load() }
 
 // Connected reports whether the store answers: the last answer is younger than Wait plus
 // answerSlack, and no call has failed since.
 func (t *Table) Connected() bool {
-	return !t.lost.Load() && time.Since(t.LastHeard()) < t.Wait+answerSlack
+	return !t.lost.Load() && time.Since(t.LastAnswer()) < t.Wait+answerSlack
 }
 
 // Lost reports whether the store has stopped answering.
 func (t *Table) Lost() bool { return t.lost.Load() }
 
-// Poke ends the call or the pause in progress and calls the store at once. It is for a caller
+// PollNow ends the call or the pause in progress and calls the store at once. It is for a caller
 // that found out that the store stopped or resumed answering.
-func (t *Table) Poke() {
+func (t *Table) PollNow() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.poked == nil {
@@ -287,7 +287,7 @@
 // pause waits after a failed call until the retry time or a poke. Half of the time is random,
 // so that nodes do not retry in step.
 func (t *Table) pause(ctx context.Context, retry time.Duration) {
-	if t.Lead != nil && t.Lead.Lost() {
+	if t.Primary != nil && t.Primary.Lost() {
 		retry = followRetry
 	}
 	timer := time.NewTimer(retry/2 + rand.N(retry/2))
@@ -319,7 +319,7 @@
 func (t *Table) step(ctx context.Context) error {
 	ctx, end, poked := t.begin(ctx)
 	defer end()
-	distrusts := t.Doubt()
+	distrusts := t.Invalidations()
 	t.forPoke = poked
 	if t.needsSnapshot() {
 		err := t.readSnapshot(ctx)
@@ -329,10 +329,10 @@
 		return err
 	}
 	maxWait := t.Wait
-	if t.SharedWait > 0 && t.Shared() {
+	if t.SharedWait > 0 && t.HasFollowers() {
 		// The wait counts from the last answer: no answer came during Pause either, and
 		// followers leave a node by the age of its last answer.
-		maxWait = max(t.SharedWait-time.Since(t.LastHeard()), 0)
+		maxWait = max(t.SharedWait-time.Since(t.LastAnswer()), 0)
 	}
 	if t.lost.Load() || poked {
 		// Ask without waiting, to detect at once whether the store is back.
@@ -403,14 +403,14 @@
 
 // notifyContact calls Contact, as the store stopped or resumed answering.
 func (t *Table) notifyContact() {
-	if t.Contact != nil {
-		t.Contact()
+	if t.OnAvailability != nil {
+		t.OnAvailability()
 	}
 }
 
 // apply calls Apply with the copy and the changed keys. The caller holds t.updateMu.
 func (t *Table) apply(changed []string) {
-	t.Apply(View{Rows: t.copy.Rows(), Changed: changed, Version: t.copy.Position().Version, Regained: t.regained})
+	t.Apply(View{Rows: t.copy.Rows(), Changed: changed, Version: t.copy.Position().Version, RestoredAt: t.regained})
 }
 
 // minVersion returns the version that a read of the whole table must reach to close a gap; zero if the
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -122,7 +122,7 @@
 		put(t, m, "a", "2")
 		synctest.Wait()
 		c.Assert(string(last().Rows["a"].Value), qt.Equals, "2")
-		c.Assert(last().Regained.Before(back), qt.IsFalse)
+		c.Assert(last().RestoredAt.Before(back), qt.IsFalse)
 	})
 }
 
@@ -206,10 +206,10 @@
 		put(t, m, "a", "1")
 		synctest.Wait()
 		c.Assert(last().Rows, qt.HasLen, 0)
-		table.Poke()
+		table.PollNow()
 		synctest.Wait()
 		c.Assert(last().Rows, qt.HasLen, 1)
-		c.Assert(last().Regained.IsZero(), qt.IsTrue)
+		c.Assert(last().RestoredAt.IsZero(), qt.IsTrue)
 	})
 }
 
@@ -228,7 +228,7 @@
 		m.Compact()
 		time.Sleep(8 * time.Second)
 		c.Assert(last().Rows, qt.HasLen, 2)
-		c.Assert(last().Regained.IsZero(), qt.IsTrue)
+		c.Assert(last().RestoredAt.IsZero(), qt.IsTrue)
 	})
 }
 
@@ -280,7 +280,7 @@
 		synctest.Wait()
 		s.calls.Store(0)
 		s.away.Store(true)
-		table.Poke()
+		table.PollNow()
 		time.Sleep(8 * time.Second)
 		c.Assert(s.calls.Load() < 30, qt.IsTrue, qt.Commentf("%d calls in 8 s", s.calls.Load()))
 	})
@@ -297,8 +297,8 @@
 		for range 5 {
 			synctest.Wait()
 			before := s.calls.Load()
-			table.Poke()
-			table.Poke()
+			table.PollNow()
+			table.PollNow()
 			time.Sleep(5 * time.Millisecond)
 			c.Assert(s.calls.Load()-before <= 2, qt.IsTrue, qt.Commentf("%d calls", s.calls.Load()-before))
 		}
@@ -314,10 +314,10 @@
 		put(t, m, "a", "1")
 		m.SetFaults(store.Faults{Delay: 5 * time.Millisecond})
 		last, table := follow(t.Context(), m)
-		table.Hold()
+		table.StopPolling()
 		time.Sleep(time.Second)
 		put(t, m, "a", "2")
-		table.Poke()
+		table.PollNow()
 		time.Sleep(2 * time.Millisecond)
 		table.Renew()
 		time.Sleep(50 * time.Millisecond)
