--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -47,9 +47,9 @@
 	// Replayed reports that the answer was recorded earlier, for the same request
 	// key (frontdoor.HeaderReplayed).
 	Replayed bool
-	// Tokens are the streamed tokens in the order of arrival, First the time
-	// from the start of the call to the first token and Gaps the times between
-	// consecutive tokens.
+	// Tokens are the streamed tokens in the order of arrival, TimeToFirstToken
+	// the time from the start of the call to the first token and TokenGaps the
+	// times between consecutive tokens.
 	Tokens           []dispatch.Token
 	TimeToFirstToken time.Duration
 	TokenGaps        []time.Duration
--- a/internal/httpconn/httpconn_test.go
+++ b/internal/httpconn/httpconn_test.go
@@ -356,7 +356,7 @@
 	})
 }
 
-// A request that May withholds sends no byte, and its connection remains usable for other
+// A request that ShouldSend withholds sends no byte, and its connection remains usable for other
 // requests.
 func TestRequestIsWithheldBeforeItsFirstByte(t *testing.T) {
 	c := qt.New(t)
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -4,9 +4,9 @@
 //
 // A claim belongs to one attempt and is never inherited by another: if its
 // holder dies, the outcome of the key is unknown permanently. Three
-// implementations of Book store claims: TableBook in the platform's table
-// service, TicketBook in the memory of the process that issued a ticket, and a
-// remote one that calls another node.
+// implementations of Registry store claims: TableRegistry in the platform's
+// table service, TicketRegistry in the memory of the process that issued a
+// ticket, and a remote one that calls another node.
 // Source: docs/design/003-at-most-once.md.
 package ledger
 
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -21,7 +21,7 @@
 
 var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// linOp is one call of a TableBook, as input of the linearizability checker.
+// linOp is one call of a TableRegistry, as input of the linearizability checker.
 type linOp struct {
 	attempt string
 	// finish is false for a Claim call; release is true for a Finish call with a
@@ -76,7 +76,7 @@
 	return linState{holder: s.holder, finished: true}, linResult{}
 }
 
-// linStep is one attempt at the key: when it starts, which TableBook it uses,
+// linStep is one attempt at the key: when it starts, which TableRegistry it uses,
 // and the faults of the store that start with it.
 type linStep struct {
 	at          time.Duration
@@ -161,7 +161,7 @@
 		h.add(client, linOp{attempt: c.Attempt}, linResult{unknown: true}, start)
 	}
 	if err != nil {
-		// The TableBook releases a claim whose caller stopped waiting, at any
+		// The TableRegistry releases a claim whose caller stopped waiting, at any
 		// later time.
 		h.add(client, linOp{attempt: c.Attempt, finish: true, release: true}, linResult{unknown: true}, time.Now())
 		return
--- a/internal/ledger/router.go
+++ b/internal/ledger/router.go
@@ -22,7 +22,7 @@
 
 // Router forwards each call to the registry responsible for the key: the
 // process that issued it for a ticket, otherwise the table service. It
-// implements Book.
+// implements Registry.
 type Router struct {
 	node    string
 	tickets *TicketIssuer
@@ -52,17 +52,17 @@
 	return l.r.table
 }
 
-// Claim implements Book.
+// Claim implements Registry.
 func (l localRegistry) Claim(ctx context.Context, c Claim) (Grant, error) {
 	return l.forKey(c.Key).Claim(ctx, c)
 }
 
-// Finish implements Book.
+// Finish implements Registry.
 func (l localRegistry) Finish(ctx context.Context, c Claim, out *Outcome) error {
 	return l.forKey(c.Key).Finish(ctx, c, out)
 }
 
-// Lookup implements Book.
+// Lookup implements Registry.
 func (l localRegistry) Lookup(ctx context.Context, k Key) (Record, bool, error) {
 	return l.forKey(k).Lookup(ctx, k)
 }
@@ -83,7 +83,7 @@
 	return b, nil
 }
 
-// Claim implements Book. If the remote committer fails without a refusal, this
+// Claim implements Registry. If the remote committer fails without a refusal, this
 // node commits the claim itself. That is safe: the condition on the row grants
 // a key once, whichever nodes commit.
 func (r *Router) Claim(ctx context.Context, c Claim) (Grant, error) {
@@ -129,7 +129,7 @@
 // releaseTimeout bounds the release of a ticket whose grant was lost.
 const releaseTimeout = 10 * time.Second
 
-// Finish implements Book.
+// Finish implements Registry.
 func (r *Router) Finish(ctx context.Context, c Claim, out *Outcome) error {
 	if IsTicket(c.Key.Key) {
 		b, err := r.issuer(c.Key)
@@ -153,7 +153,7 @@
 	return r.remote.Registry(node)
 }
 
-// Lookup implements Book.
+// Lookup implements Registry.
 func (r *Router) Lookup(ctx context.Context, k Key) (Record, bool, error) {
 	if !IsTicket(k.Key) {
 		return r.table.Lookup(ctx, k)
--- a/internal/ledger/table.go
+++ b/internal/ledger/table.go
@@ -72,7 +72,7 @@
 	// refuseUntil is when claims are sent again after the service was unavailable.
 	refuseUntil time.Time
 	stats       TableStats
-	// versions holds, by row key, the row versions of claims that this TableBook
+	// versions holds, by row key, the row versions of claims that this TableRegistry
 	// granted, so that recording their outcomes needs no prior read.
 	versions map[string]rowVersion
 }
@@ -83,17 +83,17 @@
 	version store.Version
 }
 
-// versionsLimit is the maximum number of entries in TableBook.versions.
+// versionsLimit is the maximum number of entries in TableRegistry.versions.
 const versionsLimit = 50_000
 
-// TableStats holds the counters of a TableBook.
+// TableStats holds the counters of a TableRegistry.
 type TableStats struct {
 	// Commits is the number of transactions sent and Ops the operations in
 	// them; Dropped counts operations rejected because the queue was full.
 	Commits, Ops, Dropped int64
 }
 
-// NewTableRegistry returns a TableBook that takes at most one group from its queue
+// NewTableRegistry returns a TableRegistry that takes at most one group from its queue
 // per interval.
 func NewTableRegistry(t store.Tables, interval time.Duration, log *slog.Logger) *TableRegistry {
 	releaseCtx, cancelReleases := context.WithCancel(context.Background())
@@ -116,7 +116,7 @@
 	"the key cannot be claimed because the table service does not answer; a request ticket works without it").
 	After(2 * time.Second)
 
-// Claim implements Book.
+// Claim implements Registry.
 func (b *TableRegistry) Claim(ctx context.Context, c Claim) (Grant, error) {
 	value, err := json.Marshal(Record{Claim: c})
 	if err != nil {
@@ -151,7 +151,7 @@
 	}()
 }
 
-// Finish implements Book. It retries until the outcome is recorded, the attempt
+// Finish implements Registry. It retries until the outcome is recorded, the attempt
 // no longer holds the key, or ctx ends.
 func (b *TableRegistry) Finish(ctx context.Context, c Claim, out *Outcome) error {
 	for {
@@ -227,7 +227,7 @@
 	}
 }
 
-// Lookup implements Book.
+// Lookup implements Registry.
 func (b *TableRegistry) Lookup(ctx context.Context, k Key) (Record, bool, error) {
 	row, err := b.tables.Get(ctx, claimTable, k.rowKey())
 	if errors.Is(err, store.ErrNotFound) {
--- a/internal/ledger/ticket.go
+++ b/internal/ledger/ticket.go
@@ -16,7 +16,7 @@
 // ticketPrefix marks idempotency keys that are tickets.
 const ticketPrefix = "tk1."
 
-// ticketRecordLimit is the maximum number of records in a TicketBook.
+// ticketRecordLimit is the maximum number of records in a TicketRegistry.
 const ticketRecordLimit = 200_000
 
 // Ticket is a decoded request ticket: an idempotency key that only the process
@@ -107,7 +107,7 @@
 // sweepInterval is the time between removals of expired records.
 const sweepInterval = 10 * time.Second
 
-// NewTicketRegistry returns a TicketBook without records.
+// NewTicketRegistry returns a TicketRegistry without records.
 func NewTicketRegistry(t *TicketIssuer) *TicketRegistry {
 	return &TicketRegistry{tickets: t, records: make(map[Key]*ticketRecord)}
 }
@@ -132,7 +132,7 @@
 	return t, nil
 }
 
-// Claim implements Book.
+// Claim implements Registry.
 func (b *TicketRegistry) Claim(_ context.Context, c Claim) (Grant, error) {
 	t, err := b.parseOwn(c.Key)
 	if err != nil {
@@ -166,7 +166,7 @@
 	return b
 }
 
-// Finish implements Book.
+// Finish implements Registry.
 func (b *TicketRegistry) Finish(_ context.Context, c Claim, out *Outcome) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -182,7 +182,7 @@
 	return nil
 }
 
-// Lookup implements Book.
+// Lookup implements Registry.
 func (b *TicketRegistry) Lookup(_ context.Context, k Key) (Record, bool, error) {
 	if _, err := b.parseOwn(k); err != nil {
 		return Record{}, false, err
--- a/internal/readiness/state.go
+++ b/internal/readiness/state.go
@@ -162,7 +162,7 @@
 // HasReported reports whether the process has reported anything that still applies.
 func (s *State) HasReported() bool { return s.leaving || !s.until.IsZero() }
 
-// MaySend reports whether a call that began at a given time may be sent now. The standing at that
+// MaySend reports whether a call that began at a given time may be sent now. The status at that
 // time allowed the call, but may have changed while the call waited. While the target rests, only
 // its trial call may be sent.
 func (s *State) MaySend(began, now time.Time) bool {
--- a/internal/relay/follower.go
+++ b/internal/relay/follower.go
@@ -63,7 +63,7 @@
 type Follower struct {
 	// Self is the name of this node, DataCentre the name of its data centre.
 	Self, DataCentre string
-	// Nodes lists the nodes of the data centre that can be followed. Known is closed when that
+	// Nodes lists the nodes of the data centre that can be followed. NodesKnown is closed when that
 	// list is known and the nodes can be called.
 	Nodes      func() []Node
 	NodesKnown <-chan struct{}
@@ -141,7 +141,7 @@
 }
 
 // awaitKnown waits until other nodes can be followed. It waits for the store's first answer without a
-// limit, since the tables cannot be read without one either, and then for Known up to listTimeout.
+// limit, since the tables cannot be read without one either, and then for NodesKnown up to listTimeout.
 func (f *Follower) awaitKnown(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -239,7 +239,7 @@
 	asked, probe time.Time
 	// looked is when the choice of the node to follow was last evaluated.
 	looked time.Time
-	// doubts are the values of Doubt of the tables when the call began.
+	// doubts are the values of Invalidations of the tables when the call began.
 	doubts []int64
 }
 
@@ -301,7 +301,7 @@
 	return out
 }
 
-// doubts returns the values of Doubt of the tables.
+// doubts returns the values of Invalidations of the tables.
 func (f *Follower) doubts() []int64 {
 	out := make([]int64, len(f.Tables))
 	for i, t := range f.Tables {
--- a/internal/relay/follower_test.go
+++ b/internal/relay/follower_test.go
@@ -141,7 +141,7 @@
 	})
 }
 
-// A teller whose copy never fits is called again at once only once, not in an endless loop.
+// A followed node whose copy never fits is called again at once only once, not in an endless loop.
 func TestFollowerDoesNotAskAgainWithoutAnEnd(t *testing.T) {
 	wrong := tellerWith(9, 0)
 	wrong.Tables[0].Position.Sum++
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -2,8 +2,8 @@
 // that calls and bytes at the store do not grow with the number of nodes. Every node can send
 // its copies of tables to others, and a node that is followed polls the store itself. There is
 // no election and no consensus. The store stays the only source of truth: messages carry rows
-// with the store's versions, and the version of a copy never falls. A node leaves a teller that
-// is silent, slow, behind or cut off from the store, and polls the store itself. Source:
+// with the store's versions, and the version of a copy never falls. A node leaves a followed
+// node that is silent, slow, behind or cut off from the store, and polls the store itself. Source:
 // docs/design/015-relays.md.
 package relay
 
--- a/internal/relay/teller.go
+++ b/internal/relay/teller.go
@@ -27,7 +27,7 @@
 	wake chan struct{}
 }
 
-// NewPublisher returns a Teller of these tables. The calls of the first table determine whether the
+// NewPublisher returns a Publisher of these tables. The calls of the first table determine whether the
 // store answers.
 func NewPublisher(tables ...*watch.Table) *Publisher {
 	return &Publisher{tables: tables, wake: make(chan struct{})}
--- a/internal/restore/restore.go
+++ b/internal/restore/restore.go
@@ -66,7 +66,7 @@
 	// RecheckAt is when the copy must be evaluated again, as a hold ends; zero if there is none.
 	RecheckAt time.Time
 	// Lost are the keys of rows in force that the store does not have, or has with another value
-	// that is held back. Undone are the keys of rows that were removed and that the store has
+	// that is held back. Reappeared are the keys of rows that were removed and that the store has
 	// again.
 	Lost, Reappeared []string
 }
--- a/internal/restore/table.go
+++ b/internal/restore/table.go
@@ -65,7 +65,7 @@
 	t.update()
 }
 
-// rewrite calls Mend with the rows that are lost or undone now.
+// rewrite calls RewriteLost with the rows that are lost or undone now.
 func (t *Table) rewrite() {
 	t.mu.Lock()
 	last := t.last
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -24,7 +24,7 @@
 type Situation struct {
 	Now     time.Time
 	Targets Targets
-	// Fraction is the part of the fleet's nodes that report to this owner, from 0 to 1.
+	// Part is the part of the fleet's nodes that report to this owner, from 0 to 1.
 	Part float64
 	// Sent counts the calls of the reporting nodes for the service since the order was received,
 	// SentNew those to the new version. PerSecond is the rate of their calls; 0 if unknown.
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -89,7 +89,7 @@
 	// the report that is being held.
 	unreportedBad bool
 	wake          chan struct{}
-	// lapses counts the calls of Lapse. Answers to reports from before the last one are dropped:
+	// lapses counts the calls of Expire. Answers to reports from before the last one are dropped:
 	// they may be outdated.
 	lapses int
 	// cancel ends the reports; nil before they start.
@@ -217,7 +217,7 @@
 	return s.To, s.share(time.Now())
 }
 
-// Excluded returns the versions of a service that get no calls.
+// Barred returns the versions of a service that get no calls.
 func (g *Gate) Barred(service string) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/sharedrate/broker.go
+++ b/internal/sharedrate/broker.go
@@ -48,8 +48,8 @@
 type Counts struct {
 	// Taken counts the permits that requests of this node got, Denied the requests that got none.
 	Taken, Denied float64
-	// ApplyGrant counts the permits that this node granted, Asked the permit requests that it
-	// answered.
+	// Granted counts the permits that this node granted, RequestsAnswered the permit requests
+	// that it answered.
 	Granted, RequestsAnswered float64
 }
 
@@ -106,7 +106,7 @@
 	return p, ok
 }
 
-// RetryAfter returns the earliest time at which to ask for permits of the rate again.
+// RetryAt returns the earliest time at which to ask for permits of the rate again.
 func (b *Broker) RetryAt(key string) time.Time { return b.permitCache(key).retryAt }
 
 // GiveBack returns an unused permit to the cache.
@@ -176,8 +176,8 @@
 }
 
 // Grant answers a permit request of another node or of this one. The caller must send an empty
-// request to each node of toCheck and report the outcome to Answered: these are the nodes that come
-// before this one in the order of the rate, and a sample of all nodes.
+// request to each node of toCheck and report the outcome to RecordAnswer: these are the nodes that
+// come before this one in the order of the rate, and a sample of all nodes.
 func (b *Broker) Grant(a PermitRequest, now time.Time) (g Grant, toCheck []Node) {
 	if a.Key == "" {
 		return Grant{}, nil
--- a/internal/sharedrate/owners.go
+++ b/internal/sharedrate/owners.go
@@ -37,7 +37,7 @@
 	until time.Time
 }
 
-// NewGranterOrder returns the Owners of a process that starts at now and knows no other node yet.
+// NewGranterOrder returns the GranterOrder of a process that starts at now and knows no other node yet.
 func NewGranterOrder(self Node, now time.Time) *GranterOrder {
 	o := &GranterOrder{self: self.Name, startedAt: now}
 	o.nodes = []hashedNode{{self, xxhash.Sum64String(self.Name)}}
--- a/internal/sharedrate/word.go
+++ b/internal/sharedrate/word.go
@@ -13,10 +13,10 @@
 	PerSecond float64
 }
 
-// Kind is the kind of a Word.
+// Kind is the kind of an AdvertisedLimit.
 type Kind uint8
 
-// The kinds of a Word.
+// The kinds of an AdvertisedLimit.
 const (
 	// NoInfo: the answer carries no information about the limit.
 	NoInfo Kind = iota
--- a/internal/standin/gate.go
+++ b/internal/standin/gate.go
@@ -19,7 +19,7 @@
 	frozen chan struct{}
 }
 
-// NewStoreProxy returns a Gate that forwards all calls to inner.
+// NewStoreProxy returns a StoreProxy that forwards all calls to inner.
 func NewStoreProxy(inner store.Store) *StoreProxy { return &StoreProxy{inner: inner} }
 
 // SetDisconnected disconnects the node from the store, or connects it again. While it is
@@ -30,7 +30,7 @@
 	g.cut = cut
 }
 
-// Freeze blocks new calls until Thaw, and also the answers of calls to Commit and
+// Freeze blocks new calls until Unfreeze, and also the answers of calls to Commit and
 // Changes that are under way.
 func (g *StoreProxy) Freeze() {
 	g.mu.Lock()
--- a/internal/standin/memnet/memnet.go
+++ b/internal/standin/memnet/memnet.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// Freeze blocks the reads, writes and dials of a host until Thaw, as if its
+// Freeze blocks the reads, writes and dials of a host until Unfreeze, as if its
 // process were paused.
 func (n *Network) Freeze(host string) {
 	n.mu.Lock()
@@ -303,7 +303,7 @@
 	remote   netip.AddrPort
 	done     chan struct{}
 	once     sync.Once
-	// silent is closed when the connection becomes silent (see Silence). Both ends
+	// silent is closed when the connection becomes silent (see Blackhole). Both ends
 	// share it.
 	silent       chan struct{}
 	readDeadline deadline
--- a/internal/standin/target.go
+++ b/internal/standin/target.go
@@ -54,7 +54,7 @@
 	// Models lists the models of an engine. Target does not check calls against
 	// it.
 	Models []string
-	// LoadTime is the time from an order to load models until Loaded is called.
+	// LoadTime is the time from an order to load models until OnLoaded is called.
 	// With HonoursFencing, the target refuses an order whose fencing number is
 	// lower than one it received before.
 	LoadTime       time.Duration
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -19,7 +19,7 @@
 	Slots   int
 	// Service is the service time of one call, or of one token of an engine.
 	Service time.Duration
-	// Models are the models that every engine has loaded. If Held is set, it
+	// Models are the models that every engine has loaded. If ModelsByTarget is set, it
 	// lists the models of each engine instead.
 	Models         []string
 	ModelsByTarget [][]string
--- a/internal/targets/limit.go
+++ b/internal/targets/limit.go
@@ -20,7 +20,7 @@
 	Acquire(ctx context.Context, rate sharedrate.Rate, turn, latest time.Time) (sharedrate.Permit, error)
 	// GiveBack returns a permit that was not used.
 	GiveBack(key string, p sharedrate.Permit)
-	// ProcessEnded records that a process reported at a time that it has no rate limit any more.
+	// Ended records that a process reported at a time that it has no rate limit any more.
 	Ended(key string, heard time.Time)
 }
 
@@ -83,7 +83,7 @@
 	PerSecond float64
 	// LimitedFor is how long the process had advertised limits without interruption.
 	LimitedFor time.Duration
-	// RecordLoad is set if another node observed the change.
+	// ByOtherNode is set if another node observed the change.
 	ByOtherNode bool
 }
 
@@ -133,7 +133,7 @@
 }
 
 // Permit waits for the permit that the call needs if its target's rate is bounded: until the
-// query's Latest if the rates of all candidates were bounded, and not at all otherwise. Without a
+// query's PermitDeadline if the rates of all candidates were bounded, and not at all otherwise. Without a
 // permit the lease ends as Abandoned, and until a permit may be available the target is chosen
 // only for requests that can wait for it.
 func (l *Lease) Permit(ctx context.Context, turn time.Time) error {
--- a/internal/targets/pick.go
+++ b/internal/targets/pick.go
@@ -170,8 +170,8 @@
 	return l
 }
 
-// candidates returns the targets of a service that may be called: those of the first lane that
-// has any; without lanes, those of the whole service.
+// candidates returns the targets of a service that may be called: those of the first target
+// group that has any; without such groups, those of the whole service.
 func (t *Table) candidates(q Query, now time.Time) []*state {
 	lanes := t.lanes(q)
 	if lanes == nil {
@@ -185,9 +185,9 @@
 	return nil
 }
 
-// candidatesOf returns the targets of a lane that may be called, of the first group that is not
-// empty: the healthy ones; those called only where there is no other (see lastResort); the one for
-// which a permit is available first, if that is not after q.Latest; those whose breaker is open.
+// candidatesOf returns the targets of a target group that may be called, of the first set that is
+// not empty: the healthy ones; those called only where there is no other (see lastResort); the one for
+// which a permit is available first, if that is not after q.PermitDeadline; those whose breaker is open.
 func (t *Table) candidatesOf(q Query, now time.Time, admits func(*state) bool) []*state {
 	var healthy, fallback, down []*state
 	var nextPermitted *state
@@ -223,7 +223,7 @@
 	return down
 }
 
-// lastResort reports whether a target with a standing is called only where there is no other.
+// lastResort reports whether a target with a status is called only where there is no other.
 // Otherwise a request that one target rejects as its trial call could become the trial call of
 // the next one too, and use up its attempts.
 func (q Query) lastResort(s readiness.Status) bool {
--- a/internal/targets/rollout.go
+++ b/internal/targets/rollout.go
@@ -8,8 +8,8 @@
 )
 
 // Rollouts decides which versions of a service get calls, and records how the calls end;
-// *rollout.Gate in production. It is called with the Table's lock held, except by StageCalled and
-// RecordStageCallEnd.
+// *rollout.Gate in production. It is called with the Table's lock held, except by
+// RecordStageCallStart and RecordStageCallEnd.
 type Rollouts interface {
 	TargetGroups(service string, again bool, others func(version string) bool) []rollout.TargetGroup
 	Trial(service string) (version string, share float64)
@@ -39,7 +39,7 @@
 	})
 }
 
-// admits returns a function that reports whether a target takes calls of a lane.
+// admits returns a function that reports whether a target takes calls of a target group.
 func (t *Table) admits(service string, lane rollout.TargetGroup, now time.Time) func(*state) bool {
 	if lane.Fraction <= 0 || lane.Fraction >= 1 {
 		return func(s *state) bool { return lane.Admits(s.Version) }
@@ -48,7 +48,7 @@
 	return func(s *state) bool { return lane.Admits(s.Version) && s.hash <= last }
 }
 
-// maxHashInPart returns the largest hash among the part of a lane's targets that takes its calls;
+// maxHashInPart returns the largest hash among the part of a target group that takes its calls;
 // the part has at least one target. All nodes that know the same targets choose the same part.
 func (t *Table) maxHashInPart(service string, lane rollout.TargetGroup, now time.Time) uint64 {
 	var hashes []uint64
@@ -169,7 +169,7 @@
 }
 
 // RecordStageCallEnd records the end of a call of a stage pool with Rollouts, with its outcome as evidence
-// on the target's version. Outcomes of a cold target other than Bad count as Nothing.
+// on the target's version. Outcomes of a cold target other than Bad count as Inconclusive.
 func (t *Table) RecordStageCallEnd(to Target, o rollout.Outcome, took time.Duration) {
 	if t.Rollouts == nil {
 		return
--- a/internal/targets/said.go
+++ b/internal/targets/said.go
@@ -73,7 +73,7 @@
 	Notice readiness.Notice
 	// Rejected is set if the target rejected the call.
 	Rejected bool
-	// BeginCall is when the call began: the time that Table.BeginCall returned for it, or that of the
+	// Began is when the call began: the time that Table.BeginCall returned for it, or that of the
 	// choice of its Lease.
 	Began time.Time
 }
@@ -108,7 +108,7 @@
 	return now
 }
 
-// EndCallWithoutAnswer records that a call that Began started has ended without an answer.
+// EndCallWithoutAnswer records that a call that BeginCall started has ended without an answer.
 func (t *Table) EndCallWithoutAnswer(process string, began time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/watch/copy.go
+++ b/internal/watch/copy.go
@@ -160,7 +160,7 @@
 // as its rows differ.
 var ResetVersion = store.Version{Number: -2}
 
-// wholeMaxAge is for how long Tell reuses an update with the whole table. While all nodes and targets
+// wholeMaxAge is for how long CachedSince reuses an update with the whole table. While all nodes and targets
 // start, the table changes many times a second, and one would be built for each of the many nodes
 // that ask.
 const wholeMaxAge = 2 * time.Second
--- a/internal/watch/copy_test.go
+++ b/internal/watch/copy_test.go
@@ -147,7 +147,7 @@
 	c.Assert(none, qt.IsNil)
 }
 
-// A view of a later era has the time of the store's restore in Regained, whether the copy came from the
+// A view of a later era has the time of the store's restore in RestoredAt, whether the copy came from the
 // store or from another node: rows may be missing until their writers write them again.
 func TestCopyOfALaterEraTellsOfTheReturn(t *testing.T) {
 	c := qt.New(t)
--- a/internal/watch/relayed.go
+++ b/internal/watch/relayed.go
@@ -12,8 +12,8 @@
 // ErrCopiesDiffer: the other copy has other rows, or is of another era.
 var ErrCopiesDiffer = errors.New("watch: the copies differ")
 
-// StopPolling stops the table's calls to the store; another node supplies the updates (Take, Confirm). Only
-// a Poke still makes one call to the store.
+// StopPolling stops the table's calls to the store; another node supplies the updates (ApplyUpdate,
+// Confirm). Only a PollNow still makes one call to the store.
 func (t *Table) StopPolling() { t.setRelayed(true) }
 
 // ResumePolling makes the table call the store again, beginning at once.
@@ -95,7 +95,7 @@
 func (t *Table) RecordAnswer(at time.Time) { t.recordAnswer(at) }
 
 // Compare compares the copy with the position of another node's copy, after all its updates were
-// applied, and advances the copy's version to it. It fails with ErrDiffers if that copy has other
+// applied, and advances the copy's version to it. It fails with ErrCopiesDiffer if that copy has other
 // rows or is of another era.
 func (t *Table) Compare(theirs Position) error {
 	t.updateMu.Lock()
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -42,7 +42,7 @@
 	// does not answer. A store call takes about 5 ms; many nodes retry at once after an outage.
 	firstRetry = 100 * time.Millisecond
 	maxRetry   = 700 * time.Millisecond
-	// followRetry is the retry pause of a table while its Lead finds the store unavailable. The
+	// followRetry is the retry pause of a table while its Primary finds the store unavailable. The
 	// table is poked when the store is back; this pause only bounds the delay if that poke is lost.
 	followRetry = 10 * time.Second
 	// rereadEvery is the time between two reads of the whole table without any sign of a missed
@@ -88,7 +88,7 @@
 	Log          *slog.Logger
 
 	mu sync.Mutex
-	// cancel ends the call in progress. Poke closes poked; the next call replaces it.
+	// cancel ends the call in progress. PollNow closes poked; the next call replaces it.
 	cancel context.CancelFunc
 	poked  chan struct{}
 	// waits is set if the call in progress waits for changes, renewed if Renew ended it.
@@ -103,10 +103,10 @@
 
 	copy Copy
 	lost atomic.Bool
-	// lastAnswer is when the store last answered; nil for never, or not since Distrust.
+	// lastAnswer is when the store last answered; nil for never, or not since Invalidate.
 	lastAnswer atomic.Pointer[time.Time]
 
-	// distrusts counts the calls of Distrust. confirmed is the value of that count at the start of the
+	// distrusts counts the calls of Invalidate. confirmed is the value of that count at the start of the
 	// latest call that confirmed the copy.
 	distrusts, confirmed atomic.Int64
 
@@ -122,7 +122,7 @@
 // Copy returns the copy that the table keeps.
 func (t *Table) Copy() *Copy { return &t.copy }
 
-// LastAnswer returns when the store last answered; zero for never, or not since Distrust.
+// LastAnswer returns when the store last answered; zero for never, or not since Invalidate.
 func (t *Table) LastAnswer() time.Time {
 	if at := t.lastAnswer.Load(); at != nil {
 		return *at
@@ -138,12 +138,12 @@
 	t.PollNow()
 }
 
-// Invalidations returns the number of calls of Distrust so far. A caller that begins to fetch the copy
+// Invalidations returns the number of calls of Invalidate so far. A caller that begins to fetch the copy
 // passes it to Confirm when the fetch is complete.
 func (t *Table) Invalidations() int64 { return t.distrusts.Load() }
 
-// Confirm records that the copy matches the store, by an answer to a request that began when Doubt
-// returned distrusts.
+// Confirm records that the copy matches the store, by an answer to a request that began when
+// Invalidations returned distrusts.
 func (t *Table) Confirm(distrusts int64) {
 	for {
 		confirmed := t.confirmed.Load()
@@ -153,7 +153,7 @@
 	}
 }
 
-// Confirmed reports whether the copy was confirmed since the last Distrust.
+// Confirmed reports whether the copy was confirmed since the last Invalidate.
 func (t *Table) Confirmed() bool { return t.confirmed.Load() >= t.distrusts.Load() }
 
 // Connected reports whether the store answers: the last answer is younger than Wait plus
@@ -182,7 +182,7 @@
 }
 
 // Renew ends the call in progress if it waits for changes, so that the next call uses another
-// connection. Unlike Poke it does not add a call that returns at once. A call that does not wait
+// connection. Unlike PollNow it does not add a call that returns at once. A call that does not wait
 // for changes continues.
 func (t *Table) Renew() {
 	t.mu.Lock()
@@ -237,7 +237,7 @@
 // pokePending reports whether there was a poke since the last call began.
 func (t *Table) pokePending() bool { return closed(t.pokes()) }
 
-// pokes returns the channel that the next Poke closes; it is closed if there was one since
+// pokes returns the channel that the next PollNow closes; it is closed if there was one since
 // the last call began.
 func (t *Table) pokes() <-chan struct{} {
 	t.mu.Lock()
@@ -401,7 +401,7 @@
 	return true
 }
 
-// notifyContact calls Contact, as the store stopped or resumed answering.
+// notifyContact calls OnAvailability, as the store stopped or resumed answering.
 func (t *Table) notifyContact() {
 	if t.OnAvailability != nil {
 		t.OnAvailability()
