--- a/internal/flow/queue.go
+++ b/internal/flow/queue.go
@@ -190,9 +190,9 @@
 	return oldest
 }
 
-// promoteEvery is the divisor of the number of pushes at which items are
-// promoted: only while that number is a multiple of it, so that a backlog of a
-// low class does not displace the higher ones.
+// promoteEvery limits promotions: Pop promotes an item only while the number of
+// pushes so far is a multiple of promoteEvery, so that a backlog of a low class
+// does not displace the higher ones.
 const promoteEvery = 4
 
 // next returns the item with the earliest Latest among the first items of the
--- a/internal/flow/repeats.go
+++ b/internal/flow/repeats.go
@@ -47,8 +47,8 @@
 	// ratioShare is the share of the ratio that is used. It is below 1 because requests are counted
 	// on the node where they arrive, and repeats on the node that sends them.
 	ratioShare = 0.8
-	// minLocalBurst is the number of repeats that a node's part must allow at once, or the node requests
-	// permits: with fewer, a second failure would get no repeat for many seconds.
+	// minLocalBurst is the number of repeats that a node's part must allow at once, or the node
+	// requests permits: with fewer, a second failure would get no repeat for many seconds.
 	minLocalBurst = 2
 	// permitRateShare is the share of the fixed number that is granted as permits in a window. It is
 	// below 1 because nodes that count fewer nodes may use their own parts at the same time.
--- a/internal/flow/repeats_test.go
+++ b/internal/flow/repeats_test.go
@@ -15,6 +15,8 @@
 // repeats as their budgets allow. No window has more repeats than the fixed number
 // plus ratio times the requests of that window or of the one before it, whichever
 // has more. The nodes' count of nodes may be wrong by a quarter.
+//
+// It was seen to fail with burstShare at 1.5.
 func TestRepeatsOfAllNodesStayInBounds(t *testing.T) {
 	const (
 		ratio  = 0.2
--- a/internal/frontdoor/frontdoor.go
+++ b/internal/frontdoor/frontdoor.go
@@ -125,7 +125,7 @@
 }
 
 // authenticate returns the account of the bearer token. The configuration holds
-// only hashes of tokens.
+// only hashes of tokens, so the account is found by the hash of the token.
 func (s *Server) authenticate(r *http.Request) (*catalog.CompiledAccount, error) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || token == "" {
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -197,7 +197,7 @@
 	}
 	wg.Wait()
 	counts := mem.Counts()
-	// The goroutine of the table book must end before the bubble does.
+	// The goroutine of the table registry must end before the bubble does.
 	time.Sleep(time.Second)
 	return counts.Commits, counts.Reads, time.Duration(total.Load() / int64(n))
 }
--- a/internal/node/books.go
+++ b/internal/node/books.go
@@ -30,7 +30,7 @@
 	return b.n.ledger.Local().Lookup(ctx, k)
 }
 
-// Registry implements ledger.Remote. It also returns the book of a member marked
+// Registry implements ledger.Remote. It also returns the registry of a member marked
 // dead, because the membership view may be wrong. It returns nil for a node that
 // is not a member.
 func (p *peers) Registry(node string) ledger.Registry {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -93,7 +93,8 @@
 }
 
 // Provision builds a node and opens its listeners. The node serves requests only
-// after Serve is called.
+// after Serve is called. If the servers cannot be built, Provision closes what it has
+// opened.
 func Provision(s settings.Settings, env Env) (*Node, error) {
 	n := &Node{
 		s: s, env: env, stopping: make(chan struct{}), metrics: metrics.New(), started: time.Now(),
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -27,7 +27,8 @@
 	return true, ""
 }
 
-// isolationTimeout is the time since the last read from the platform after which a node without live peers counts as isolated.
+// isolationTimeout is the time since the last read from the platform after which a
+// node without live peers counts as isolated.
 const isolationTimeout = 30 * time.Second
 
 // isolated reports whether the node is isolated: it knows other nodes, none of them
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -53,8 +53,8 @@
 	Store store.Tables
 	// Dial opens a connection to a target, to check whether its process still runs.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// OtherAddrs returns the addresses of the other nodes. Tell sends ends that could not be written to
-	// the store to one of them; nil disables this.
+	// OtherAddrs returns the addresses of the other nodes. SendEndsTo sends ends that could not be
+	// written to the store to one of them; nil disables this.
 	OtherAddrs func() []string
 	SendEndsTo func(ctx context.Context, addr string, ends []End) error
 	// OnProcessEnd, if set, is called with each process that has ended.
@@ -174,8 +174,8 @@
 	g.stored = next
 }
 
-// RewriteLost writes again what a store that was restored from a copy has lost: records of quarantined
-// requests, and the removal of records of requests that were answered.
+// RewriteLost writes again what a store that was restored from a copy has lost: records of
+// quarantined requests, and the removal of records of requests that were answered.
 func (g *Guard) RewriteLost(kept restore.Result) {
 	for _, key := range kept.Reappeared {
 		if d, err := ParseDigest(key); err == nil {
@@ -277,8 +277,8 @@
 	// Process identifies one start of the target's process, Addr is the address where it accepts
 	// calls.
 	Process, Addr string
-	// Probe names the probe that the run belongs to; empty if none. GoesOn reports that the probe
-	// has further runs unless this one ended its target, so that the probe is not given up.
+	// Probe names the probe that the run belongs to; empty if none. ProbeContinues reports that
+	// the probe has further runs unless this one ended its target, so that the probe is not given up.
 	Probe          string
 	ProbeContinues bool
 }
--- a/internal/poison/operate.go
+++ b/internal/poison/operate.go
@@ -24,7 +24,8 @@
 	Quarantined bool `json:"quarantined"`
 }
 
-// List returns the requests under which targets ended, those with the most ended processes first.
+// List returns the requests under which targets ended, those with the most ended processes first
+// and therefore the quarantined ones before the others.
 func List(ctx context.Context, tables store.Tables) ([]Listed, error) {
 	var out []Listed
 	for after := ""; ; {
--- a/internal/poison/record.go
+++ b/internal/poison/record.go
@@ -38,7 +38,7 @@
 type Record struct {
 	// Ended names the processes that ended under the request, at most maxProcesses.
 	Ended []string `json:"ended"`
-	// Probes is the number of probes that were claimed.
+	// Probes is the number of probes that were claimed and not abandoned.
 	Probes int `json:"probes,omitempty"`
 	// Probe names the probe in progress; empty if none. ProbeMS is how long the probe may take, in
 	// milliseconds.
--- a/internal/poison/stats.go
+++ b/internal/poison/stats.go
@@ -10,7 +10,7 @@
 // Counts are the totals of a Guard since its start.
 type Counts struct {
 	// Ends counts ends of targets under requests of this node, Probes the sent probes, Refused the
-	// refusals.
+	// requests that were refused because of their records.
 	Ends, Probes, Refused int64
 	// Dropped counts queued changes that were dropped because the queue was full while the store
 	// was unavailable.
--- a/internal/poison/tell.go
+++ b/internal/poison/tell.go
@@ -45,7 +45,8 @@
 	wg.Wait()
 }
 
-// ReceiveEnds records ends that another node could not write to the store, and queues them to be written.
+// ReceiveEnds records ends that another node could not write to the store, and queues them to be
+// written.
 func (g *Guard) ReceiveEnds(ends []End) {
 	for _, e := range ends {
 		if e.Digest == (Digest{}) {
--- a/internal/restore/restore.go
+++ b/internal/restore/restore.go
@@ -1,7 +1,8 @@
 // Package restore keeps rows in force that a store has lost because it was restored from an older
 // copy of itself, until their writers write them again. A row that is written after the store came
 // back takes effect at once. A row that the store lost, or has with an earlier value, stays in force
-// as this process knows it, for a limited time.
+// as this process knows it, for a limited time. If the store came back with a value that this process
+// never saw, and another one is in force, the store's is held back for a second.
 package restore
 
 import (
@@ -66,8 +67,8 @@
 	// RecheckAt is when the copy must be evaluated again, as a hold ends; zero if there is none.
 	RecheckAt time.Time
 	// Lost are the keys of rows in force that the store does not have, or has with another value
-	// that is held back. Undone are the keys of rows that were removed and that the store has
-	// again.
+	// that is held back. Reappeared are the keys of rows that were removed and that the store
+	// has again.
 	Lost, Reappeared []string
 }
 
--- a/internal/restore/table.go
+++ b/internal/restore/table.go
@@ -18,8 +18,9 @@
 	Name string
 	// Apply is called with each set of rows in force, one call at a time.
 	Apply func(v watch.View, r Result)
-	// RewriteLost, if set, is called to write lost and undone rows again: once after each restore of the
-	// store, after a random delay below rewriteSpread, if there are such rows by then.
+	// RewriteLost, if set, is called to write lost rows and the removal of reappeared rows again:
+	// once after each restore of the store, after a random delay below rewriteSpread, if there are
+	// such rows by then.
 	RewriteLost func(r Result)
 	Log         *slog.Logger
 
@@ -65,7 +66,7 @@
 	t.update()
 }
 
-// rewrite calls Mend with the rows that are lost or undone now.
+// rewrite calls RewriteLost if rows are lost or have reappeared.
 func (t *Table) rewrite() {
 	t.mu.Lock()
 	last := t.last
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -24,7 +24,7 @@
 type Situation struct {
 	Now     time.Time
 	Targets Targets
-	// Fraction is the part of the fleet's nodes that report to this owner, from 0 to 1.
+	// Part is the part of the fleet's nodes that report to this owner, from 0 to 1.
 	Part float64
 	// Sent counts the calls of the reporting nodes for the service since the order was received,
 	// SentNew those to the new version. PerSecond is the rate of their calls; 0 if unknown.
@@ -75,7 +75,8 @@
 	pauseShare = 0.02
 	// moveUntil is the part of the order's time after which all traffic has moved.
 	moveUntil = 0.93
-	// settleTime is how long all traffic goes to the new version before the order is completed.
+	// settleTime is how long all traffic goes to the new version before the order is completed and
+	// the old version may stop.
 	settleTime = time.Second
 	// decisionMargin is how long before its deadline an order is decided at the latest. An owner
 	// with a minority of the nodes decides one step later, if no other owner did before.
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -85,11 +85,11 @@
 	evidence Evidence
 	// oldInFlight counts the calls in flight at targets of other versions.
 	oldInFlight int
-	// unreportedBad says that a bad answer of the new version has not been reported yet. wake interrupts
-	// the report that is being held.
+	// unreportedBad says that a bad answer of the new version has not been reported yet. wake
+	// interrupts the report that is being held.
 	unreportedBad bool
 	wake          chan struct{}
-	// lapses counts the calls of Lapse. Answers to reports from before the last one are dropped:
+	// lapses counts the calls of Expire. Answers to reports from before the last one are dropped:
 	// they may be outdated.
 	lapses int
 	// cancel ends the reports; nil before they start.
@@ -217,7 +217,7 @@
 	return s.To, s.share(time.Now())
 }
 
-// Excluded returns the versions of a service that get no calls.
+// Barred returns the versions of a service that get no calls.
 func (g *Gate) Barred(service string) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -361,8 +361,8 @@
 // node, and how long the owner counts the node as reporting.
 func LeaseOf(hold time.Duration) time.Duration { return leaseHolds*hold + leaseSlack }
 
-// next returns the next report, whether it reports a new bad answer, and the count of lapses at that
-// time.
+// next returns the next report, whether it reports a new bad answer, and the count of calls of
+// Expire at that time.
 func (g *Gate) next(s *orderState) (r Report, unreportedBad bool, lapses int) {
 	hold := HoldOf(g.Nodes())
 	g.mu.Lock()
--- a/internal/rollout/owner.go
+++ b/internal/rollout/owner.go
@@ -127,8 +127,8 @@
 	clear(w.runs)
 }
 
-// addReport adds a report to the run of its order, and starts one if there is none. It returns nil if the
-// owner is closed.
+// addReport adds a report to the run of its order, and starts one if there is none. It returns nil if
+// the owner is closed.
 func (w *Owner) addReport(r Report, release chan struct{}) *run {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/rollout/owners_test.go
+++ b/internal/rollout/owners_test.go
@@ -201,7 +201,8 @@
 
 // TestVersionKeepsToItsBoundWhileOwnersChange guards against owners that start late, or at the same
 // time as others, and send the new version more calls than its bounds allow. Nodes and owners restart
-// at random during the trial.
+// at random during the trial. All answers are good: the bounds must hold before anything is known of
+// the version, as it may turn bad later.
 func TestVersionKeepsToItsBoundWhileOwnersChange(t *testing.T) {
 	for seed := range uint64(30) {
 		perSecond := []float64{4, 30, 120}[seed%3]
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -56,14 +56,14 @@
 type TargetGroup struct {
 	// Version is the version of its targets; "" for any.
 	Version string
-	// Excluded lists versions whose targets are not in the lane.
+	// Excluded lists versions whose targets are not in the group.
 	Excluded []string
 	// Fraction is the part of the version's targets that take its calls; 0 means all. A small share
 	// of the traffic, sent to a few targets, shows how the version performs under load.
 	Fraction float64
 }
 
-// Admits reports whether targets of a version are in the lane.
+// Admits reports whether targets of a version are in the group.
 func (l TargetGroup) Admits(version string) bool {
 	return (l.Version == "" || version == l.Version) && !slices.Contains(l.Excluded, version)
 }
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -66,8 +66,9 @@
 	c.Assert(New(2, nil, nil, nil, false, Limits{}).NeedsKey(&Route{}), qt.IsFalse)
 }
 
-// The route's priority decides between requests of one account. Otherwise urgent requests
-// would wait behind the others of their account.
+// The route's priority decides between requests of one account. The test guards
+// against an account's priority that replaces the route's, so that urgent requests wait
+// behind the others of their account.
 func TestRankIsTheAccountsThenTheRoutes(t *testing.T) {
 	c := qt.New(t)
 	urgent, lax := &Route{Priority: 0}, &Route{Priority: 2}
--- a/internal/routing/breaker.go
+++ b/internal/routing/breaker.go
@@ -44,8 +44,8 @@
 // that the caller cancelled.
 func (b *Breaker) Abandon() { b.probing = false }
 
-// Unreachable records that the target refused the connection, and opens the breaker
-// at once.
+// Unreachable records that the target refused the connection. That is strong evidence
+// of a failure, so it opens the breaker at once.
 func (b *Breaker) Unreachable(now time.Time) {
 	b.failures = max(b.failures, breakerFailures-1)
 	b.Failure(now)
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -165,8 +165,8 @@
 	return false
 }
 
-// refuseUnserved refuses the waiting calls that no target serves any more, at once
-// and not at their deadline.
+// refuseUnserved refuses the waiting calls that no target serves any more. Their
+// refusal is final, so they get it at once and not at their deadline.
 func (p *pool) refuseUnserved() {
 	unserved := func(it *flow.Item) bool { return !p.serves(&it.Value.(*waiter).call) }
 	for _, it := range p.queue.Drop(unserved) {
--- a/internal/sharedrate/broker.go
+++ b/internal/sharedrate/broker.go
@@ -48,8 +48,8 @@
 type Counts struct {
 	// Taken counts the permits that requests of this node got, Denied the requests that got none.
 	Taken, Denied float64
-	// ApplyGrant counts the permits that this node granted, Asked the permit requests that it
-	// answered.
+	// Granted counts the permits that this node granted, RequestsAnswered the permit requests that
+	// it answered.
 	Granted, RequestsAnswered float64
 }
 
@@ -106,13 +106,14 @@
 	return p, ok
 }
 
-// RetryAfter returns the earliest time at which to ask for permits of the rate again.
+// RetryAt returns the earliest time at which to ask for permits of the rate again.
 func (b *Broker) RetryAt(key string) time.Time { return b.permitCache(key).retryAt }
 
 // GiveBack returns an unused permit to the cache.
 func (b *Broker) GiveBack(key string, p Permit, now time.Time) { b.permitCache(key).giveBack(p, now) }
 
-// PermitRequest builds the permit request for waiting requests, the last of which gives up at latest.
+// PermitRequest builds the permit request for waiting requests, the last of which gives up at
+// latest.
 func (b *Broker) PermitRequest(rate Rate, waiting int, latest, now time.Time) PermitRequest {
 	return PermitRequest{
 		Key: rate.Key, Asker: b.self.Name, PerSecond: rate.PerSecond, Heard: now.Sub(rate.Heard),
@@ -120,8 +121,9 @@
 	}
 }
 
-// GranterFor returns the node to ask for permits of the rate: the first in the order that did not fail to
-// answer within the last skipTime. ok is false if there is none.
+// GranterFor returns the node to ask for permits of the rate: the first in the order that is not
+// skipped. A node is skipped for skipTime after a failure to answer, unless it has answered since. ok
+// is false if there is no such node, and before the first SetNodes.
 func (b *Broker) GranterFor(key string, now time.Time) (n Node, ok bool) {
 	if !b.known {
 		return Node{}, false
@@ -142,7 +144,8 @@
 }
 
 // ErrNotReady is the cause of a permit request that this node could not send. It does not count as
-// a failure of the other node.
+// a failure of the other node, but a check that ends with it counts as unanswered in the fraction of
+// the nodes that this one reaches.
 var ErrNotReady = errors.New("sharedrate: other nodes cannot be asked yet")
 
 // RecordAnswer records the outcome of a permit request to another node.
--- a/internal/sharedrate/granter.go
+++ b/internal/sharedrate/granter.go
@@ -7,7 +7,8 @@
 
 // PermitRequest is a request for permits of one rate.
 type PermitRequest struct {
-	// Key names the rate. An Ask with an empty key only checks whether the granter answers.
+	// Key names the rate. A request with an empty key only checks whether the granter
+	// answers.
 	Key string
 	// Asker is the name of the requesting node.
 	Asker string
@@ -22,11 +23,11 @@
 	Within time.Duration
 }
 
-// Grant is the response to an Ask.
+// Grant is the response to a PermitRequest.
 type Grant struct {
-	// Permits is the number of granted permits. The first is for a slot that opens after In, each
-	// further one for a slot that opens Spacing after the previous one. In may be negative: a slot
-	// that has passed may be used at once.
+	// Permits is the number of granted permits. The first is for a slot that opens after FirstIn,
+	// each further one for a slot that opens Spacing after the previous one. FirstIn may be
+	// negative: a slot that has passed may be used at once.
 	Permits          int
 	FirstIn, Spacing time.Duration
 	// RetryAfter is how long to wait before the next request, where fewer permits were granted than
@@ -37,8 +38,8 @@
 	Heard time.Duration
 }
 
-// The bound that all constants here keep: in any period of length Span, all nodes together send a
-// target at most Excess times its rate times Span, plus Fixed requests.
+// The bound that all constants here keep: in any period of length BoundWindow, all nodes together
+// send a target at most BoundFactor times its rate times BoundWindow, plus BoundBurst requests.
 const (
 	BoundWindow = 4 * time.Second
 	BoundFactor = 1.5
@@ -47,7 +48,8 @@
 
 const (
 	// permitTTL is how long after its slot opens a permit may be used; opening a connection takes
-	// part of it. Permits granted over Span plus permitTTL can be used within one Span.
+	// part of it. Permits granted over BoundWindow plus permitTTL can be used within one
+	// BoundWindow.
 	permitTTL = 300 * time.Millisecond
 	// catchUpTime and minCatchUp bound how many unused past slots a granter of a whole rate still
 	// gives out: the slots of catchUpTime, plus minCatchUp. Nodes ask for a slot some time after it
@@ -74,7 +76,7 @@
 
 // shares are the shares of a rate that its granters give out, by their place: the first node that
 // has not failed gives out the whole rate, those that replace it when it cannot be reached give out
-// a part. All may grant at once while nodes disagree about which nodes have failed: (Span +
+// a part. All may grant at once while nodes disagree about which nodes have failed: (BoundWindow +
 // permitTTL) times the sum of the shares times the rate, plus the slots of the catch-up, stays
 // within the bound.
 var shares = []float64{1, 0.2, 0.1}
--- a/internal/sharedrate/limiter.go
+++ b/internal/sharedrate/limiter.go
@@ -21,9 +21,9 @@
 
 // Denied is the error of a request that gets no permit in time.
 type Denied struct {
-	// RetryAfter is the earliest time at which to ask again.
+	// RetryAt is the earliest time at which to ask again.
 	RetryAt time.Time
-	// Ended reports that the limit has ended, which another node observed at HeardAt.
+	// Ended reports that the limit has ended, which another node observed at EndedAt.
 	Ended   bool
 	EndedAt time.Time
 	// Granter is the name of the node that was asked; empty if none could be.
@@ -41,8 +41,8 @@
 // Config configures a Limiter.
 type Config struct {
 	Self Node
-	// PermitRequest sends a permit request to the node at addr. Its error is ErrNotReady where this node
-	// cannot send yet.
+	// PermitRequest sends a permit request to the node at addr. Its error is ErrNotReady where this
+	// node cannot send yet.
 	PermitRequest func(ctx context.Context, addr string, a PermitRequest) (Grant, error)
 	Log           *slog.Logger
 }
--- a/internal/sharedrate/owners.go
+++ b/internal/sharedrate/owners.go
@@ -15,8 +15,8 @@
 // ended granter may still be used. Its successor grants a smaller share meanwhile.
 const settlingTime = 3 * time.Second
 
-// GranterOrder determines which nodes grant a rate: the first ones in the order of rendezvous hashing. It
-// must not be used concurrently.
+// GranterOrder determines which nodes grant a rate: the first ones in the order of rendezvous
+// hashing. It must not be used concurrently.
 type GranterOrder struct {
 	self  string
 	nodes []hashedNode
@@ -37,7 +37,8 @@
 	until time.Time
 }
 
-// NewGranterOrder returns the Owners of a process that starts at now and knows no other node yet.
+// NewGranterOrder returns the GranterOrder of a process that starts at now and knows no other node
+// yet.
 func NewGranterOrder(self Node, now time.Time) *GranterOrder {
 	o := &GranterOrder{self: self.Name, startedAt: now}
 	o.nodes = []hashedNode{{self, xxhash.Sum64String(self.Name)}}
--- a/internal/sharedrate/reach.go
+++ b/internal/sharedrate/reach.go
@@ -19,7 +19,8 @@
 	// fullShareReach is the fraction of the nodes that a granter must reach to give out a whole
 	// rate. Of two partitions at most one reaches it, and the other then reaches and grants less
 	// than the rest: together they grant less than one and a half times the rate. With more than
-	// maxChecks nodes the fraction is estimated from a sample, and fullShareReachSampled applies.
+	// maxChecks nodes the fraction is estimated from a sample and varies by chance, so that the
+	// higher fullShareReachSampled applies.
 	fullShareReach        = 0.6
 	fullShareReachSampled = 0.7
 )
@@ -36,7 +37,8 @@
 // results.
 type reachability struct {
 	checks []reachCheck
-	// nextIndex is the index of the node that was checked last, at the time at.
+	// nextIndex, modulo the number of nodes, is the index of the node that was checked last, at the
+	// time at. nextNode increases it before it returns a node.
 	nextIndex int
 	at        time.Time
 }
--- a/internal/sharedrate/word.go
+++ b/internal/sharedrate/word.go
@@ -5,18 +5,18 @@
 
 import "time"
 
-// AdvertisedLimit is the limit that one answer of a target advertises: the rate of requests that the target
-// takes from all nodes together. The zero value carries no information.
+// AdvertisedLimit is the limit that one answer of a target advertises: the rate of requests that the
+// target takes from all nodes together. The zero value carries no information.
 type AdvertisedLimit struct {
 	Kind Kind
-	// PerSecond is the rate of a Limited word, in requests per second.
+	// PerSecond is the rate if Kind is Limited, in requests per second.
 	PerSecond float64
 }
 
-// Kind is the kind of a Word.
+// Kind is the kind of an AdvertisedLimit.
 type Kind uint8
 
-// The kinds of a Word.
+// The kinds of an AdvertisedLimit.
 const (
 	// NoInfo: the answer carries no information about the limit.
 	NoInfo Kind = iota
@@ -26,8 +26,8 @@
 	Limited
 )
 
-// LimitEstimate is a node's estimate of the limit of one target process, from the answers that the node
-// received. The zero value means no limit. It must not be used concurrently.
+// LimitEstimate is a node's estimate of the limit of one target process, from the answers that the
+// node received. The zero value means no limit. It must not be used concurrently.
 type LimitEstimate struct {
 	limited   bool
 	perSecond float64
@@ -36,8 +36,8 @@
 	limitedSince, confirmedAt time.Time
 }
 
-// Observe updates the estimate by the limit in an answer that was received at now to a call that began
-// at began. It reports whether the estimate changed.
+// Observe updates the estimate by the limit in an answer that was received at now to a call that
+// began at began. It reports whether the estimate changed.
 //
 // Answers may arrive out of order. A lower rate applies at once. A higher rate, or none, applies
 // only if the call began after the limit was last confirmed: any other answer may have been sent
@@ -69,8 +69,8 @@
 // Heard returns when the limit was last confirmed.
 func (b *LimitEstimate) Heard() time.Time { return b.confirmedAt }
 
-// ObserveEnd applies the report of another node that it observed the end of the limit at the time at,
-// and reports whether the estimate changed. The report counts only if it is at least
+// ObserveEnd applies the report of another node that it observed the end of the limit at the time
+// at, and reports whether the estimate changed. The report counts only if it is at least
 // maxMessageDelay newer than the last confirmation, as its time may be off by the delay of a
 // message.
 func (b *LimitEstimate) ObserveEnd(at time.Time) (changed bool) {
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -3,7 +3,8 @@
 // caller.
 //
 // Verdicts are conservative: NotRun is a proof that no target received work
-// that it could have started. Without that proof the verdict is MayHaveRun. Source: docs/design/001-verdicts.md.
+// that it could have started. Without that proof the verdict is MayHaveRun.
+// Source: docs/design/001-verdicts.md.
 package verdict
 
 import (
