--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -75,7 +75,8 @@
 	pauseShare = 0.02
 	// moveUntil is the part of the order's time after which all traffic has moved.
 	moveUntil = 0.93
-	// settleTime is how long all traffic goes to the new version before the order is completed.
+	// settleTime is how long all traffic goes to the new version before the order is completed and
+	// the old version may stop.
 	settleTime = time.Second
 	// decisionMargin is how long before its deadline an order is decided at the latest. An owner
 	// with a minority of the nodes decides one step later, if no other owner did before.
--- a/internal/sharedrate/granter.go
+++ b/internal/sharedrate/granter.go
@@ -7,7 +7,8 @@
 
 // PermitRequest is a request for permits of one rate.
 type PermitRequest struct {
-	// Key names the rate. A PermitRequest with an empty key only checks whether the granter answers.
+	// Key names the rate. A request with an empty key only checks whether the granter
+	// answers.
 	Key string
 	// Asker is the name of the requesting node.
 	Asker string
@@ -75,8 +76,8 @@
 
 // shares are the shares of a rate that its granters give out, by their place: the first node that
 // has not failed gives out the whole rate, those that replace it when it cannot be reached give out
-// a part. All may grant at once while nodes disagree about which nodes have failed:
-// (BoundWindow + permitTTL) times the sum of the shares times the rate, plus the slots of the catch-up, stays
+// a part. All may grant at once while nodes disagree about which nodes have failed: (BoundWindow +
+// permitTTL) times the sum of the shares times the rate, plus the slots of the catch-up, stays
 // within the bound.
 var shares = []float64{1, 0.2, 0.1}
 
--- a/internal/sharedrate/limiter.go
+++ b/internal/sharedrate/limiter.go
@@ -41,8 +41,8 @@
 // Config configures a Limiter.
 type Config struct {
 	Self Node
-	// PermitRequest sends a permit request to the node at addr. Its error is ErrNotReady where this node
-	// cannot send yet.
+	// PermitRequest sends a permit request to the node at addr. Its error is ErrNotReady where this
+	// node cannot send yet.
 	PermitRequest func(ctx context.Context, addr string, a PermitRequest) (Grant, error)
 	Log           *slog.Logger
 }
