--- a/internal/batch/store.go
+++ b/internal/batch/store.go
@@ -50,8 +50,9 @@
 	// changed.
 	Owner string `json:"owner,omitempty"`
 	Epoch int64  `json:"epoch"`
-	// Beat is a unique ID per write of the row: a heartbeat that shows that the
-	// owner is alive.
+	// Beat is a unique ID per write of the row. It shows that the owner is alive,
+	// and makes each value of the row unique, so that reading the row back shows
+	// whether a write whose reply was lost was applied.
 	Beat string `json:"beat"`
 	// Results are the keys of the objects with the results of the finished
 	// chunks, in order.
--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -189,8 +189,9 @@
 	return nil
 }
 
-// apply compiles the next configuration and replaces the current one by it, unless it does
-// not compile. It reports whether it did. The caller holds f.mu.
+// apply compiles the next configuration while the current one stays in use, and replaces it
+// as a whole. If the next one does not compile, the current one stays. It reports whether it
+// replaced it. The caller holds f.mu.
 func (f *Follower) apply(base *catalog.Compiled, revision int64, items []catalog.Item) bool {
 	next, err := base.Apply(revision, items)
 	if err != nil {
--- a/internal/control/shard.go
+++ b/internal/control/shard.go
@@ -44,8 +44,9 @@
 	Owner string `json:"owner"`
 	// Epoch is incremented at each takeover.
 	Epoch int64 `json:"epoch"`
-	// Beat is a unique ID per write: a heartbeat that shows that the owner is
-	// alive.
+	// Beat is a unique ID per write. It shows that the owner is alive, and makes
+	// each value of the row unique, so that reading the row back shows whether a
+	// commit whose reply was lost was applied.
 	Beat string `json:"beat"`
 }
 
--- a/internal/httpconn/pool.go
+++ b/internal/httpconn/pool.go
@@ -53,7 +53,8 @@
 	expires time.Time
 }
 
-// bufferSize is the size of each read and write buffer, in bytes. It holds the head and the body of most requests and answers.
+// bufferSize is the size of each read and write buffer, in bytes. It holds the head and
+// the body of most requests and answers.
 const bufferSize = 4 << 10
 
 // get returns an idle connection to addr, or opens a new one if none is usable or
--- a/internal/httpconn/request.go
+++ b/internal/httpconn/request.go
@@ -49,7 +49,8 @@
 	// have closed it as idle just before this one was sent.
 	Reused bool
 	// Refused is set if connecting failed with a *net.OpError that is neither a timeout
-	// nor a cancellation, such as a refused connection.
+	// nor a cancellation, such as a refused connection: the target's host answered that no
+	// process listens at the address.
 	Refused bool
 	// Withheld is set if the request was not sent because Request.ShouldSend returned false.
 	Withheld bool
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -88,7 +88,7 @@
 }
 
 // TestOracleTableBookIsLinearizable runs attempts at one key on several
-// TableBooks over one store with lost replies and dropped and late commits.
+// TableRegistries over one store with lost replies and dropped and late commits.
 func TestOracleTableBookIsLinearizable(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(2, 8).Draw(rt, "steps")
@@ -250,7 +250,7 @@
 // TestLateCommitDoesNotHoldAReleasedKey guards against a claim commit that the
 // store applies after the key was released: if the release deleted the row, the
 // condition that no row exists would hold and the key would belong to an attempt
-// that has ended.
+// that has ended. TestOracleTableBookIsLinearizable found it with seed 26937.
 func TestLateCommitDoesNotHoldAReleasedKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -278,8 +278,9 @@
 }
 
 // TestClosedBookStopsReleasingAnAbandonedClaim guards against a release of an
-// abandoned claim that is retried after Close, while the service is unavailable.
-// The goroutine left behind makes synctest.Test fail.
+// abandoned claim that is retried for as long as the service is unavailable, also
+// after its node has ended and called Close. The goroutine left behind makes
+// synctest.Test fail. TestOracleOutcomes of package node found it with seed 53343.
 func TestClosedBookStopsReleasingAnAbandonedClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/internal/membership/news.go
+++ b/internal/membership/news.go
@@ -71,8 +71,8 @@
 	return Packet{Addr: addr, Msg: msg}
 }
 
-// dropSpentUpdates removes the updates that were sent often enough to reach all
-// nodes with high probability; see retransmitFactor.
+// dropSpentUpdates removes the updates that were sent as often as retransmitFactor
+// sets. Nodes that they did not reach get them by anti-entropy.
 func (s *State) dropSpentUpdates() {
 	limit := retransmitFactor
 	for n := len(s.members) + 1; n > 1; n /= 2 {
--- a/internal/relay/follower.go
+++ b/internal/relay/follower.go
@@ -40,9 +40,10 @@
 	maxSkip = 30 * time.Second
 	// recheckInterval is the interval between evaluations of the choice of the node to follow.
 	recheckInterval = time.Second
-	// probeInterval is the longest time, half of it random, between two calls of a node to a
-	// store that answers neither it nor the node that it follows: the store may refuse only
-	// that node, and this one must have the store again within 3 s.
+	// probeInterval is the mean time between two calls of a node to a store that answers
+	// neither it nor the node that it follows; each pause is random between half and one and a
+	// half of it. The store may refuse only that node, and this one must have the store again
+	// within 3 s.
 	probeInterval = 2 * time.Second
 	// ownAnswerTimeout is how long the store may take to answer this node's own call while the
 	// node that it follows gets no answer; after it this node leaves that node.
--- a/internal/relay/teller.go
+++ b/internal/relay/teller.go
@@ -115,8 +115,8 @@
 
 // refresh ends the calls to the store that began before the first follower came: they may wait so
 // long that the last answer is too old for a follower. It does so at most once per maxAge, however
-// often followers come and go. It ends the calls of all tables: only the first table's calls detect
-// a hanging call, and the one in progress ends here.
+// often followers come and go. It ends the calls of all tables, not only the first one's: usually the
+// first table's call in progress detects that another call hangs, but that one ends here.
 func (t *Publisher) refresh() {
 	last := t.refreshed.Load()
 	now := time.Now().UnixNano()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -110,8 +110,8 @@
 	KeyFile string `json:"key_file" need:"true"`
 	// Interval is the time between two gossip rounds. Default 1s.
 	Interval Duration `json:"interval"`
-	// SuspectAfter is the time without messages from a peer after which it is
-	// considered failed. Default 5s.
+	// SuspectAfter is how long a peer stays suspect before it is considered failed.
+	// A peer is suspect once it has not answered for four intervals. Default 5s.
 	SuspectAfter Duration `json:"suspect_after"`
 }
 
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -29,7 +29,8 @@
 const (
 	// bufferSize is the size of the read buffer, in bytes.
 	bufferSize = 4 << 10
-	// maxEvent bounds an event that contains a line longer than the read buffer, in bytes.
+	// maxEvent bounds an event that contains a line longer than the read buffer, in bytes. It
+	// is not checked after shorter lines.
 	maxEvent = 1 << 20
 )
 
@@ -55,7 +56,8 @@
 		r.raw = append(r.raw, line...)
 		switch {
 		case err == bufio.ErrBufferFull && len(r.raw) < maxEvent:
-			// A line longer than the buffer is read in parts. Its ID is not parsed.
+			// A line longer than the buffer is read in parts. An ID is never in a line
+			// that long. The last part is treated as a line of its own.
 			continue
 		case err == io.EOF && len(r.raw) > 0:
 			return Event{}, ErrTruncated
--- a/internal/standin/gate.go
+++ b/internal/standin/gate.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// wait blocks while the gate is frozen. It returns store.ErrUnavailable if the
+// wait blocks while the proxy is frozen. It returns store.ErrUnavailable if the
 // node was disconnected when wait was called.
 func (g *StoreProxy) wait() error {
 	g.mu.Lock()
--- a/internal/supervise/supervise_test.go
+++ b/internal/supervise/supervise_test.go
@@ -19,7 +19,8 @@
 }
 
 // TestSupervisorDoesNotReadItsServices guards against a data race: formatting a service reads
-// fields that the service's own goroutines write.
+// fields that the service's own goroutines write. The race detector found it in TestOracleBatches
+// under load.
 func TestSupervisorDoesNotReadItsServices(t *testing.T) {
 	suture.NewSimple("test").Add(Named("one", unprintable{t}))
 }
--- a/internal/watch/explore_test.go
+++ b/internal/watch/explore_test.go
@@ -262,7 +262,8 @@
 }
 
 // A copy can move to another era while a call for changes is in flight. It must drop the answer, which
-// continues from a number of the former era. The explorer reaches this case at depth 11 only.
+// continues from a number of the former era. The explorer found it at depth 11, which is deeper than
+// CI explores.
 func TestChangesAskedForInAnEarlierEraAreDropped(t *testing.T) {
 	x := newExplorer(t)
 	x.replay([]string{
