--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -50,7 +50,8 @@
 	ListenCallers, ListenReady, ListenPeers string
 	// MemoryBytes is the memory limit of the process; 0 for none.
 	MemoryBytes int64
-	// Capacity are the resources of the process for the batches that it forms on behalf of all nodes.
+	// Capacity is the capacity of the process for the batches that it forms on behalf of all
+	// nodes.
 	Capacity stagebatch.Capacity
 	// StopGrace is the time between the stop signal and the end of the process.
 	StopGrace time.Duration
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -65,7 +65,7 @@
 	DataCentre string `json:"data_centre"`
 	// Memory is the memory limit of the process in bytes; 0 for none.
 	Memory int64 `json:"memory,omitempty"`
-	// Capacity are the resources of the process for the batches that it forms.
+	// Capacity is the capacity of the process for the batches that it forms.
 	Capacity stagebatch.Capacity `json:"means,omitzero"`
 }
 
@@ -186,14 +186,15 @@
 	}
 }
 
-// removeDeparted removes the row of a node that left, unless it was written since the store's
-// recovery.
+// removeDeparted removes the row of a node that left, which the store has again since its
+// recovery. A row that is written between the read and the removal stays.
 func (p *peers) removeDeparted(name string) {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	row, err := p.n.env.Store.Get(ctx, memberTable, name)
 	if err != nil {
-		// Another node has removed the row, or package restore drops it when its retention ends.
+		// Another node has removed the row, or the store does not answer. A row that stays takes
+		// effect when its hold in package restore ends.
 		return
 	}
 	_, err = p.n.env.Store.Commit(ctx, store.Tx{
--- a/internal/passthrough/rest.go
+++ b/internal/passthrough/rest.go
@@ -7,12 +7,11 @@
 	"topazmoor/internal/verdict"
 )
 
-// retryJitter is the fraction of a pause over which the retries after its end are spread: all
-// nodes learn of the pause at the same time, and the target first takes one trial call of each
-// node.
+// retryJitter is the fraction of a rest over which the retries after its end are spread: all nodes
+// learn of the rest at the same time, and the target first takes one trial call of each node.
 const retryJitter = 0.3
 
-// timeUntilCallable returns how long all targets of the service pause; 0 if one may be called
+// timeUntilCallable returns how long all targets of the service rest; 0 if one may be called
 // now, or none is known.
 func (c *call) timeUntilCallable() time.Duration {
 	at, ok := c.s.cfg.Targets.AvailableAt(c.service, c.regions())
@@ -23,7 +22,7 @@
 }
 
 // retryAfterPause is the retry delay of a caller for which no target was free: until the first
-// pausing target may be called again, but at least retryAfter.
+// resting target may be called again, but at least retryAfter.
 func (c *call) retryAfterPause() time.Duration {
 	return max(addJitter(c.timeUntilCallable()), c.retryAfter())
 }
@@ -36,7 +35,7 @@
 	return wait + rand.N(time.Duration(retryJitter*float64(wait))+1)
 }
 
-// refuseAllPaused refuses a request at once if all targets will still pause when its stages
+// refuseAllPaused refuses a request at once if all targets will still rest when its stages
 // are done: it would wait in vain, and its stage results would be wasted.
 func (c *call) refuseAllPaused() error {
 	wait := c.timeUntilCallable()
--- a/internal/passthrough/server.go
+++ b/internal/passthrough/server.go
@@ -28,8 +28,8 @@
 	Produce(ctx context.Context, o stagebatch.Order) (stagebatch.Result, error)
 	Estimate(service string, w stagebatch.Work) time.Duration
 	Free(service string, res stagebatch.Result)
-	// FreeIfNearlyFull frees results that were read, but whose reader has not ended, if the target that
-	// holds them is short of memory.
+	// FreeIfNearlyFull frees results that were read, but whose reader has not ended, if the target
+	// that holds them is nearly full.
 	FreeIfNearlyFull(service string, res stagebatch.Result)
 }
 
@@ -96,8 +96,8 @@
 	Routes func() *routes.Config
 	// StoreUnreachable reports whether the store does not answer the node.
 	StoreUnreachable func() bool
-	// SuspendedTime returns how long the host has been suspended in total; Go's monotonic clock does not
-	// count that time.
+	// SuspendedTime returns how long the host has been suspended in total; Go's monotonic clock
+	// does not count that time.
 	SuspendedTime func() time.Duration
 	// Trusted reports whether the node's data is recent enough to act on. After a suspension of
 	// the host it is not, until the store has answered again.
--- a/internal/passthrough/stages.go
+++ b/internal/passthrough/stages.go
@@ -141,8 +141,8 @@
 }
 
 // delayLargeResults delays a stage with large results, if it reads no other stage and none
-// reads it, until the longest path is about to end: the results would otherwise occupy memory
-// at their producer for no use. lastStep is closed when the last stage of that path starts. It
+// reads it, until the longest path is about to end: the results would otherwise occupy space
+// at the target that holds them for no use. lastStep is closed when the last stage of that path starts. It
 // reports whether ctx is still active.
 func (c *call) delayLargeResults(ctx context.Context, i int, lastStep <-chan struct{}) bool {
 	st := c.route.Stages[i]
@@ -242,8 +242,8 @@
 	return out
 }
 
-// freeReadIfTight frees results early, if their producer is short of memory. It applies to
-// results whose only remaining reader is stage i, which has read them.
+// freeReadIfTight frees results early, if the target that holds them is nearly full. It applies
+// to results whose only remaining reader is stage i, which has read them.
 func (c *call) freeReadIfTight(in *inputs, readers []atomic.Int32, i int) {
 	if c.s.cfg.Off.Has(mechanism.EarlyRelease) {
 		return
--- a/internal/passthrough/stream.go
+++ b/internal/passthrough/stream.go
@@ -82,7 +82,8 @@
 	return errors.Is(err, stagebatch.ErrInputGone) || errors.Is(err, stagebatch.ErrCrashed)
 }
 
-// maxStageReruns is how often the stages of a request run again.
+// maxStageReruns is how often the stages of a request run again, because their results no longer
+// existed or their targets ended.
 const maxStageReruns = 2
 
 // streaming is the state of one stream to the caller.
--- a/internal/passthrough/suspended.go
+++ b/internal/passthrough/suspended.go
@@ -24,8 +24,8 @@
 	delete(s.calls, c)
 }
 
-// HostResumed is called after the host was suspended for gap. Requests whose deadline has passed end
-// now, the others at their deadline: the timers of their contexts run on a clock that stopped
+// HostResumed is called after the host was suspended for gap. Requests whose deadline has passed
+// end now, the others at their deadline: the timers of their contexts run on a clock that stopped
 // meanwhile.
 func (s *Server) HostResumed(gap time.Duration) {
 	if n := s.endsAt.Load(); n != 0 {
--- a/internal/promptcache/promptcache.go
+++ b/internal/promptcache/promptcache.go
@@ -49,8 +49,8 @@
 	readers *lru.Cache[uint64, []string]
 }
 
-// New returns a Memory for a number of prefixes, at least one. If it is full, it evicts the prefix
-// that Read and Kept have not looked up for the longest time.
+// New returns an Index for a number of prefixes, at least one. If it is full, it evicts the prefix
+// that RecordRead and Match have not looked up for the longest time.
 func New(prefixes int) *Index {
 	// The only error is a size that is not positive.
 	c, err := lru.New[uint64, []string](max(prefixes, 1))
--- a/internal/promptcache/promptcache_test.go
+++ b/internal/promptcache/promptcache_test.go
@@ -21,7 +21,7 @@
 	c.Assert(m.Match(Prefixes("m", []Part{{2, 20}, {1, 10}})), qt.HasLen, 0)
 }
 
-// TestOracleMemory compares Memory with a plain record of every read. The record applies the bound
+// TestOracleMemory compares Index with a plain record of every read. The record applies the bound
 // of engines for one prefix; the bound of prefixes is not reached.
 func TestOracleMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/readiness/parse.go
+++ b/internal/readiness/parse.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// ParseRetryAfter parses the values of a Retry-After header; date is the value of the Date header of the
-// same answer. It returns the longest valid time, at most Longest, and 0 if there is none. Source:
-// RFC 9110, sections 10.2.3 and 6.6.1; fractions of seconds are accepted too.
+// ParseRetryAfter parses the values of a Retry-After header; date is the value of the Date header
+// of the same answer. It returns the longest valid time, at most MaxRest, and 0 if there is none.
+// Source: RFC 9110, sections 10.2.3 and 6.6.1; fractions of seconds are accepted too.
 func ParseRetryAfter(values []string, date string, now time.Time) time.Duration {
 	var rest time.Duration
 	for _, v := range values {
--- a/internal/readiness/state.go
+++ b/internal/readiness/state.go
@@ -5,12 +5,13 @@
 // Status is whether a target may be sent work.
 type Status uint8
 
-// The standings, the best first.
+// The statuses, the best first.
 const (
 	// Open: the target has reported nothing that prevents calls.
 	Open Status = iota
 	// OnTrial: its rest, or the time in which it was avoided, is over; the next call is the
-	// trial call.
+	// trial call. Until that is accepted or lost, the target is Resting or Avoided again, so
+	// that it gets no second trial call.
 	OnTrial
 	// Avoided: it rejected a call without asking for rest, or the trial call after that is in
 	// progress; it is called only if there is no other target.
@@ -127,8 +128,8 @@
 	return Avoided
 }
 
-// AvailableAt returns when the rest of the target ends; zero if it does not rest, if its trial call is in
-// progress, or if it is leaving.
+// AvailableAt returns when the rest of the target ends; zero if it does not rest, if its trial call
+// is in progress, or if it is leaving.
 func (s *State) AvailableAt(now time.Time) time.Time {
 	if s.leaving || !s.restRequested || !s.paused(now) {
 		return time.Time{}
@@ -143,16 +144,16 @@
 	}
 }
 
-// Accepted records that the target accepted a call. The rest is over if the call began with the trial
-// call or after it; a call from before says nothing about the target's state after the rest.
+// Accepted records that the target accepted a call. The rest is over if the call began with the
+// trial call or after it; a call from before says nothing about the target's state after the rest.
 func (s *State) Accepted(began time.Time) {
 	if !s.trial.IsZero() && !began.Before(s.trial) {
 		s.until, s.trial, s.restRequested, s.avoidances = time.Time{}, time.Time{}, false, 0
 	}
 }
 
-// Unanswered records that a call ended without an answer. If it began with the trial call or after it,
-// another call may be the trial call.
+// Unanswered records that a call ended without an answer. If it began with the trial call or after
+// it, another call may be the trial call.
 func (s *State) Unanswered(began time.Time) {
 	if !s.trial.IsZero() && !began.Before(s.trial) {
 		s.trial = time.Time{}
@@ -162,7 +163,7 @@
 // HasReported reports whether the process has reported anything that still applies.
 func (s *State) HasReported() bool { return s.leaving || !s.until.IsZero() }
 
-// MaySend reports whether a call that began at a given time may be sent now. The standing at that
+// MaySend reports whether a call that began at a given time may be sent now. The status at that
 // time allowed the call, but may have changed while the call waited. While the target rests, only
 // its trial call may be sent.
 func (s *State) MaySend(began, now time.Time) bool {
--- a/internal/stagebatch/estimate.go
+++ b/internal/stagebatch/estimate.go
@@ -67,7 +67,8 @@
 type traffic struct {
 	arrived  []pieceCount
 	produced []pieceCount
-	// busySince is the last time at which a call ended with an empty queue.
+	// busySince is the last time at which a call ended with an empty queue, at first the time at
+	// which the pool was created: since then pieces have waited at the end of each call.
 	busySince time.Time
 	// ranks is one more than the highest rank seen.
 	ranks int
--- a/internal/stagebatch/former_test.go
+++ b/internal/stagebatch/former_test.go
@@ -446,8 +446,9 @@
 	})
 }
 
-// Guards against leaving a slow target nearly idle while pieces wait. It takes orders that it
-// completes in time, and orders that would be late at any target.
+// Guards against leaving a slow target nearly idle while pieces wait: it then gets one call every
+// 2.5 s (slowProbe). It takes orders that it completes in time, and orders that would be late at
+// any target.
 func TestSlowTargetTakesWhatItMakesInTime(t *testing.T) {
 	c := qt.New(t)
 	now := time.Date(2026, 3, 5, 0, 0, 0, 0, time.UTC)
--- a/internal/stagebatch/leaving_test.go
+++ b/internal/stagebatch/leaving_test.go
@@ -55,7 +55,7 @@
 	})
 }
 
-// A call is not sent if its target requests a pause or announces its shutdown while the
+// A call is not sent if its target asks for rest or reports that it leaves while the
 // connection is still being opened. The pieces are produced at another target, and the call does
 // not count as one of their attempts.
 func TestCallIsWithheldWhenItsTargetBecomesUnavailable(t *testing.T) {
--- a/internal/stagebatch/means.go
+++ b/internal/stagebatch/means.go
@@ -19,16 +19,17 @@
 
 const (
 	// orderBytes is the size on the former's network link of an order with six pieces: 500 bytes
-	// between the nodes, 300 bytes a piece in the calls to the targets, of which 255 name its
-	// inputs, and about a third more for packet headers.
+	// between the nodes (BenchmarkOrderOnTheLink of package peer), 300 bytes a piece in the calls
+	// to the targets, of which 255 name its inputs, and about a third more for packet headers.
 	orderBytes = 3000
-	// orderSeconds is the processor time of such an order with 670 targets.
+	// orderSeconds is the processor time of such an order with 670 targets
+	// (BenchmarkStagePools of package experiment).
 	orderSeconds = 0.0003
 	// classRatio is the factor by which a node may have less capacity than the strongest node
 	// and still belong to its class. Hashing distributes the services over the nodes of a class.
 	// A node of the weaker class forms no batches while one of the strongest class is available:
-	// a node with a 10 Mbit/s link that forms the batches of two pools at 730 orders a second
-	// delays all of them by over 250 ms.
+	// a node with a 10 Mbit/s link that formed the batches of two pools at 730 orders a second
+	// delayed all of them by over 250 ms, while nodes with 200 Mbit/s were available.
 	classRatio = 4
 )
 
--- a/internal/stagebatch/pool.go
+++ b/internal/stagebatch/pool.go
@@ -134,7 +134,8 @@
 }
 
 // healthy reports whether a call that is sent now starts at once: the last call of this former
-// ended recently, in time and without a lack of space.
+// ended recently, in time and without a lack of space, so the target had space and no call of
+// another former to run first.
 func (m *targetState) healthy(now time.Time) bool { return now.Sub(m.healthyAt) < healthyTTL }
 
 // overdue raises the slowness to the ratio that a call still in progress has reached, and at
--- a/internal/stagebatch/room.go
+++ b/internal/stagebatch/room.go
@@ -78,7 +78,7 @@
 // as free only after the target has replied.
 func (f *Former) sendRelease(service, addr string) {
 	if wait := f.list.RemainingRest(addr); wait > 0 {
-		// The target has requested a pause. Handles that are collected meanwhile are released by
+		// The target asked for rest. Handles that are collected meanwhile are released by
 		// the same call.
 		time.AfterFunc(wait, func() { f.sendRelease(service, addr) })
 		return
--- a/internal/stagebatch/room_test.go
+++ b/internal/stagebatch/room_test.go
@@ -13,8 +13,8 @@
 	_ "topazmoor/internal/standin/fixedseed"
 )
 
-// Guards against a restarted former that assumes that all space is free. Calls that find no
-// space take their whole duration and produce nothing.
+// Guards against a restarted former that assumes that all space is free. Each call that finds no
+// space produces nothing while its pieces wait.
 func TestRoomTakenByOthersIsAskedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -30,7 +30,8 @@
 	})
 }
 
-// An order does not fail when its calls find no space, however many there are.
+// Guards against an order that fails after four calls (maxTries) that found no space: such calls
+// do not count.
 func TestOrderWaitsForRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -47,8 +48,8 @@
 	})
 }
 
-// Where two formers share a pool, a call may wait at its target for longer than the inputs are
-// usually kept. If the inputs are released meanwhile, all stages run again.
+// Where two formers share a pool, a call may wait at its target for longer than inputTime, after
+// which its inputs count as read. If they are released meanwhile, all stages run again.
 func TestInputsOfASharedPoolAreKeptUntilTheCallEnds(t *testing.T) {
 	for others, early := range map[int]bool{0: true, 1: false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -130,8 +131,8 @@
 }
 
 // If the target itself has reported its free space, no share is reserved for errors of the
-// sizes. After a restart, results for earlier processes may take nearly all space, and the
-// reserve would be most of the rest.
+// sizes. After a restart, results for earlier processes may take nearly all space; a reserve of a
+// tenth of the whole would be most of the rest.
 func TestReportedFreeSpaceIsUsedCompletely(t *testing.T) {
 	c := qt.New(t)
 	now := time.Date(2026, 3, 5, 0, 0, 0, 0, time.UTC)
--- a/internal/stagebatch/router.go
+++ b/internal/stagebatch/router.go
@@ -288,7 +288,8 @@
 	r.suspects[n.Name] = time.Now().Add(suspectFor)
 }
 
-// FirstBatchNode returns the name of the node that forms the batches of a service, as seen by this node.
+// FirstBatchNode returns the name of the node that forms the batches of a service, as seen by this
+// node.
 func (r *Router) FirstBatchNode(service string) string {
 	n, _ := r.Leader(service)
 	return n.Name
--- a/internal/targets/engine.go
+++ b/internal/targets/engine.go
@@ -197,8 +197,8 @@
 	return first, second
 }
 
-// PreferredDataCentre returns the data centre of the engine that prompt affinity prefers for a prompt, among
-// those in some regions; "" if there is none.
+// PreferredDataCentre returns the data centre of the engine that prompt affinity prefers for a
+// prompt, among those in some regions; "" if there is none.
 func (t *Table) PreferredDataCentre(service string, affinity uint64, shared int, in region.Set) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/targets/limit.go
+++ b/internal/targets/limit.go
@@ -20,7 +20,7 @@
 	Acquire(ctx context.Context, rate sharedrate.Rate, turn, latest time.Time) (sharedrate.Permit, error)
 	// GiveBack returns a permit that was not used.
 	GiveBack(key string, p sharedrate.Permit)
-	// ProcessEnded records that a process reported at a time that it has no rate limit any more.
+	// Ended records that a process reported at a time that it has no rate limit any more.
 	Ended(key string, heard time.Time)
 }
 
@@ -83,7 +83,7 @@
 	PerSecond float64
 	// LimitedFor is how long the process had advertised limits without interruption.
 	LimitedFor time.Duration
-	// RecordLoad is set if another node observed the change.
+	// ByOtherNode is set if another node observed the change.
 	ByOtherNode bool
 }
 
@@ -133,7 +133,7 @@
 }
 
 // Permit waits for the permit that the call needs if its target's rate is bounded: until the
-// query's Latest if the rates of all candidates were bounded, and not at all otherwise. Without a
+// query's PermitDeadline if the rates of all candidates were bounded, and not at all otherwise. Without a
 // permit the lease ends as Abandoned, and until a permit may be available the target is chosen
 // only for requests that can wait for it.
 func (l *Lease) Permit(ctx context.Context, turn time.Time) error {
@@ -168,9 +168,9 @@
 	return p, err
 }
 
-// conflictBackoff is how long no permit is assumed to be available for a target after another node
-// has reported that its limit has ended, if that is not clearly newer than this node's last report
-// of the limit.
+// conflictBackoff is how long a target gets no calls that need a permit while nodes disagree on its
+// limit: another node has reported that the limit ended, but not clearly after this node's last
+// report of the limit.
 const conflictBackoff = 100 * time.Millisecond
 
 // denied records that a call got no permit: it ends the limit if another node observed its end
--- a/internal/targets/pick.go
+++ b/internal/targets/pick.go
@@ -187,7 +187,7 @@
 
 // candidatesOf returns the targets of a lane that may be called, of the first group that is not
 // empty: the healthy ones; those called only where there is no other (see lastResort); the one for
-// which a permit is available first, if that is not after q.Latest; those whose breaker is open.
+// which a permit is available first, if that is not after q.PermitDeadline; those whose breaker is open.
 func (t *Table) candidatesOf(q Query, now time.Time, admits func(*state) bool) []*state {
 	var healthy, fallback, down []*state
 	var nextPermitted *state
--- a/internal/targets/rollout.go
+++ b/internal/targets/rollout.go
@@ -8,8 +8,8 @@
 )
 
 // Rollouts decides which versions of a service get calls, and records how the calls end;
-// *rollout.Gate in production. It is called with the Table's lock held, except by StageCalled and
-// RecordStageCallEnd.
+// *rollout.Gate in production. It is called with the Table's lock held, except by
+// RecordStageCallStart and RecordStageCallEnd.
 type Rollouts interface {
 	TargetGroups(service string, again bool, others func(version string) bool) []rollout.TargetGroup
 	Trial(service string) (version string, share float64)
@@ -168,8 +168,8 @@
 	}
 }
 
-// RecordStageCallEnd records the end of a call of a stage pool with Rollouts, with its outcome as evidence
-// on the target's version. Outcomes of a cold target other than Bad count as Nothing.
+// RecordStageCallEnd records the end of a call of a stage pool with Rollouts, with its outcome as
+// evidence on the target's version. Outcomes of a cold target other than Bad count as Inconclusive.
 func (t *Table) RecordStageCallEnd(to Target, o rollout.Outcome, took time.Duration) {
 	if t.Rollouts == nil {
 		return
--- a/internal/targets/said.go
+++ b/internal/targets/said.go
@@ -73,7 +73,7 @@
 	Notice readiness.Notice
 	// Rejected is set if the target rejected the call.
 	Rejected bool
-	// BeginCall is when the call began: the time that Table.BeginCall returned for it, or that of the
+	// Began is when the call began: the time that Table.BeginCall returned for it, or that of the
 	// choice of its Lease.
 	Began time.Time
 }
@@ -108,7 +108,7 @@
 	return now
 }
 
-// EndCallWithoutAnswer records that a call that Began started has ended without an answer.
+// EndCallWithoutAnswer records that a call that BeginCall started has ended without an answer.
 func (t *Table) EndCallWithoutAnswer(process string, began time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -117,8 +117,8 @@
 	}
 }
 
-// UpdateReadiness updates the readiness of the target's process from the answer to the call, and returns
-// what changed.
+// UpdateReadiness updates the readiness of the target's process from the answer to the call, and
+// returns what changed.
 func (l *Lease) UpdateReadiness(n readiness.Notice, rejected bool) readiness.Change {
 	l.t.mu.Lock()
 	defer l.t.mu.Unlock()
@@ -157,9 +157,9 @@
 	return s != nil && s.usable(now) && s.ready.MaySend(began, now)
 }
 
-// AvailableAt returns the earliest time at which a target of a service in some regions may be called;
-// zero for now, or if the trial call of a target is in progress. ok is false if no target there is
-// usable.
+// AvailableAt returns the earliest time at which a target of a service in some regions may be
+// called; zero for now, or if the trial call of a target is in progress. ok is false if no target
+// there is usable.
 func (t *Table) AvailableAt(service string, in region.Set) (at time.Time, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -194,8 +194,8 @@
 	return s.Status(now), s.AvailableAt(now)
 }
 
-// RemainingRest returns for how long the target at an address asked to get no work from now on; 0 if it
-// does not rest.
+// RemainingRest returns for how long the target at an address asked to get no work from now on; 0
+// if it does not rest.
 func (t *Table) RemainingRest(addr string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/targets/said_test.go
+++ b/internal/targets/said_test.go
@@ -13,7 +13,7 @@
 	"topazmoor/internal/store"
 )
 
-// Kind a process reported holds whatever later lists contain, also if its entry was missing for a
+// What a process reported holds whatever later lists contain, also if its entry was missing for a
 // while. Another process, at the same address or under the same ID, does not inherit it.
 func TestWordOfATargetGoesBeforeItsList(t *testing.T) {
 	c := qt.New(t)
