--- a/internal/targets/pick.go
+++ b/internal/targets/pick.go
@@ -223,7 +223,7 @@
 	return down
 }
 
-// lastResort reports whether a target with a standing is called only where there is no other.
+// lastResort reports whether a target with a status is called only where there is no other.
 // Otherwise a request that one target rejects as its trial call could become the trial call of
 // the next one too, and use up its attempts.
 func (q Query) lastResort(s readiness.Status) bool {
