--- a/internal/targets/rollout.go
+++ b/internal/targets/rollout.go
@@ -39,7 +39,7 @@
 	})
 }
 
-// admits returns a function that reports whether a target takes calls of a lane.
+// admits returns a function that reports whether a target takes calls of a target group.
 func (t *Table) admits(service string, lane rollout.TargetGroup, now time.Time) func(*state) bool {
 	if lane.Fraction <= 0 || lane.Fraction >= 1 {
 		return func(s *state) bool { return lane.Admits(s.Version) }
@@ -48,7 +48,7 @@
 	return func(s *state) bool { return lane.Admits(s.Version) && s.hash <= last }
 }
 
-// maxHashInPart returns the largest hash among the part of a lane's targets that takes its calls;
+// maxHashInPart returns the largest hash among the part of a target group that takes its calls;
 // the part has at least one target. All nodes that know the same targets choose the same part.
 func (t *Table) maxHashInPart(service string, lane rollout.TargetGroup, now time.Time) uint64 {
 	var hashes []uint64
