--- a/internal/passthrough/stages.go
+++ b/internal/passthrough/stages.go
@@ -142,8 +142,8 @@
 
 // delayLargeResults delays a stage with large results, if it reads no other stage and none
 // reads it, until the longest path is about to end: the results would otherwise occupy space
-// at the target that holds them for no use. lastStep is closed when the last stage of that path starts. It
-// reports whether ctx is still active.
+// at the target that holds them for no use. lastStep is closed when the last stage of that path
+// starts. It reports whether ctx is still active.
 func (c *call) delayLargeResults(ctx context.Context, i int, lastStep <-chan struct{}) bool {
 	st := c.route.Stages[i]
 	if c.s.cfg.Off.Has(mechanism.LateBigResults) || st.ResultBytes < largeResultBytes || len(st.After) > 0 || c.onTimeEstimator().after(i) > 0 || c.pieces(i) == 0 || c.lastOfLongestPath() < 0 {
--- a/internal/targets/limit.go
+++ b/internal/targets/limit.go
@@ -133,9 +133,9 @@
 }
 
 // Permit waits for the permit that the call needs if its target's rate is bounded: until the
-// query's PermitDeadline if the rates of all candidates were bounded, and not at all otherwise. Without a
-// permit the lease ends as Abandoned, and until a permit may be available the target is chosen
-// only for requests that can wait for it.
+// query's PermitDeadline if the rates of all candidates were bounded, and not at all otherwise.
+// Without a permit the lease ends as Abandoned, and until a permit may be available the target is
+// chosen only for requests that can wait for it.
 func (l *Lease) Permit(ctx context.Context, turn time.Time) error {
 	p, err := l.t.Permit(ctx, l.s.process, turn, l.latest)
 	if err != nil {
