--- a/internal/targets/limit.go
+++ b/internal/targets/limit.go
@@ -133,9 +133,9 @@
 }
 
 // Permit waits for the permit that the call needs if its target's rate is bounded: until the
-// query's PermitDeadline if the rates of all candidates were bounded, and not at all otherwise. Without a
-// permit the lease ends as Abandoned, and until a permit may be available the target is chosen
-// only for requests that can wait for it.
+// query's PermitDeadline if the rates of all candidates were bounded, and not at all otherwise.
+// Without a permit the lease ends as Abandoned, and until a permit may be available the target is
+// chosen only for requests that can wait for it.
 func (l *Lease) Permit(ctx context.Context, turn time.Time) error {
 	p, err := l.t.Permit(ctx, l.s.process, turn, l.latest)
 	if err != nil {
@@ -168,9 +168,9 @@
 	return p, err
 }
 
-// conflictBackoff is how long no permit is assumed to be available for a target after another node
-// has reported that its limit has ended, if that is not clearly newer than this node's last report
-// of the limit.
+// conflictBackoff is how long a target gets no calls that need a permit while nodes disagree on its
+// limit: another node has reported that the limit ended, but not clearly after this node's last
+// report of the limit.
 const conflictBackoff = 100 * time.Millisecond
 
 // denied records that a call got no permit: it ends the limit if another node observed its end
--- a/internal/targets/pick.go
+++ b/internal/targets/pick.go
@@ -186,8 +186,9 @@
 }
 
 // candidatesOf returns the targets of a target group that may be called, of the first set that is
-// not empty: the healthy ones; those called only where there is no other (see lastResort); the one for
-// which a permit is available first, if that is not after q.PermitDeadline; those whose breaker is open.
+// not empty: the healthy ones; those called only where there is no other (see lastResort); the one
+// for which a permit is available first, if that is not after q.PermitDeadline; those whose breaker
+// is open.
 func (t *Table) candidatesOf(q Query, now time.Time, admits func(*state) bool) []*state {
 	var healthy, fallback, down []*state
 	var nextPermitted *state
--- a/internal/targets/rollout.go
+++ b/internal/targets/rollout.go
@@ -168,8 +168,8 @@
 	}
 }
 
-// RecordStageCallEnd records the end of a call of a stage pool with Rollouts, with its outcome as evidence
-// on the target's version. Outcomes of a cold target other than Bad count as Inconclusive.
+// RecordStageCallEnd records the end of a call of a stage pool with Rollouts, with its outcome as
+// evidence on the target's version. Outcomes of a cold target other than Bad count as Inconclusive.
 func (t *Table) RecordStageCallEnd(to Target, o rollout.Outcome, took time.Duration) {
 	if t.Rollouts == nil {
 		return
