--- a/internal/sharedrate/limiter.go
+++ b/internal/sharedrate/limiter.go
@@ -278,7 +278,7 @@
 			return n.Name, &answer, nil
 		}
 		err = askErr
-		l.cfg.Log.Info("permit request failed, trying the next granter", "peer", n.Name, "addr", n.Addr, "key", a.Key, "err", err)
+		l.cfg.Log.Info("node does not grant permits, passed over", "peer", n.Name, "addr", n.Addr, "key", a.Key, "err", err)
 	}
 	return "", nil, err
 }
--- a/internal/stagebatch/router.go
+++ b/internal/stagebatch/router.go
@@ -204,7 +204,7 @@
 
 func (r *Router) markSuspect(n Node, o Order, err error) {
 	r.Suspect(n)
-	r.log.Warn("order at node failed, skipping the node", "peer", n.Name, "addr", n.Addr, "request", o.Request, "service", o.Service, "err", err)
+	r.log.Warn("node does not form batches, passed over", "peer", n.Name, "addr", n.Addr, "request", o.Request, "service", o.Service, "err", err)
 }
 
 // recordWaits records the waits of a pool.
