--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -282,7 +282,8 @@
 
 var errMembersUnknown = eris.New("entry: the table of nodes is not read yet")
 
-// ensureRow writes this node's row unless it is already in the table.
+// ensureRow writes this node's row in the table of nodes, unless the table already contains the row as
+// it should be.
 func (p *peers) ensureRow(ctx context.Context) error {
 	if p.leaving.Load() {
 		return nil
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -29,7 +29,8 @@
 	finish, release bool
 }
 
-// linResult is what a call returned; unknown means an error.
+// linResult is what a call returned; unknown means that the call returned an error, so that it is not
+// known whether it took effect.
 type linResult struct {
 	unknown bool
 	granted bool
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -202,8 +202,9 @@
 	return counts.Commits, counts.Reads, time.Duration(total.Load() / int64(n))
 }
 
-// BenchmarkBatch measures, in virtual time, the writes and the state of a batch
-// of items that may not be repeated, claims included.
+// BenchmarkBatch runs, in virtual time, a batch of n items whose pipeline may not
+// be repeated. It reports the commits to the store per item, those for the claims
+// of the items included, and the size of the batch's row in the store per item.
 func BenchmarkBatch(b *testing.B) {
 	for _, n := range []int{32, 320, 3200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/passthrough/rest.go
+++ b/internal/passthrough/rest.go
@@ -21,8 +21,8 @@
 	return max(time.Until(at), 0)
 }
 
-// retryAfterPause is the retry delay of a caller for which no target was free: until the first
-// resting target may be called again, but at least retryAfter.
+// retryAfterPause returns the delay after which a caller should retry a request for which no target was
+// free: the time until the first target may be called again, jitter included, but at least retryAfter.
 func (c *call) retryAfterPause() time.Duration {
 	return max(addJitter(c.timeUntilCallable()), c.retryAfter())
 }
--- a/internal/passthrough/server.go
+++ b/internal/passthrough/server.go
@@ -156,7 +156,7 @@
 
 var errStopping = errors.New("passthrough: the process ends")
 
-// stopping returns when the process ends; the zero time while it is not stopping.
+// stopping returns the time at which the process ends, as given to Stop; the zero time before Stop.
 func (s *Server) stopping() time.Time {
 	n := s.endsAt.Load()
 	if n == 0 {
--- a/internal/pipeline/protocol.go
+++ b/internal/pipeline/protocol.go
@@ -131,7 +131,8 @@
 	return xxhash.Sum64String(st.Model + "\x00" + st.Adapter + "\x00" + p[:min(len(p), prefixLen)])
 }
 
-// body returns the path and the body of the call of a stage that does not generate.
+// body returns the URL path and the request body of the call for stage st, which is not a generate
+// stage.
 func (d *data) body(st *catalog.PlanStage, pool settings.Pool) (string, any) {
 	switch st.Kind {
 	case settings.Encode:
--- a/internal/pipeline/stage.go
+++ b/internal/pipeline/stage.go
@@ -269,7 +269,8 @@
 	l.Release(o)
 }
 
-// outcomeOf returns the outcome for the target's state of a call that ended with err.
+// outcomeOf returns the outcome with which a call that ended with err is recorded in the state of the
+// target.
 func outcomeOf(err error) scheduler.Outcome {
 	if err == nil {
 		return scheduler.Succeeded
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// reportWait bounds how long a request waits, before it is sent again, until an end under it is
-	// written to the store. A commit takes 5 ms, two commits are needed where another node wrote
-	// first.
+	// reportWait bounds how long a request under which a target ended waits, before it is sent
+	// again, until this end is written to the store. A commit takes 5 ms; two commits are needed if
+	// another node wrote the record of the request first.
 	reportWait = 80 * time.Millisecond
-	// maxLocalRecords bounds the requests whose ends this node keeps in memory, at about 200 bytes
-	// each.
+	// maxLocalRecords bounds the requests for which this node keeps in memory the ends of targets
+	// that ran them, at about 200 bytes a request.
 	maxLocalRecords = 4096
-	// maxAnswered bounds the answered requests that a node keeps in memory, at about 100 bytes
-	// each: the requests of a node in a minute or more.
+	// maxAnswered bounds the answered requests whose digests a node keeps in memory, at about 100
+	// bytes a request. Targets answer that many requests of a node in a minute or more.
 	maxAnswered = 8192
 	// retryDuringProbe is when a caller may retry a request that is being probed.
 	retryDuringProbe = time.Second
@@ -37,7 +37,7 @@
 type Refused struct {
 	// Ends is the number of targets that are known to have ended under the request.
 	Ends int
-	// After is when the request may be admitted again; 0 if unknown.
+	// After is the duration until the request may be admitted again; 0 if unknown.
 	After time.Duration
 }
 
@@ -64,10 +64,10 @@
 	Log   *slog.Logger
 }
 
-// Guard keeps requests that crash targets away from them, together with the Guards of the other
-// nodes. An end under a request is written to the store before the request is sent again. A node
-// that sends a quarantined request must first claim a probe in the store. It is safe for concurrent
-// use. It implements suture.Service.
+// Guard keeps requests that crash targets away from targets, together with the Guards of the other
+// nodes. The end of a target under a request is written to the store before the request is sent again.
+// A node that sends a quarantined request must first claim a probe in the store. A Guard is safe for
+// concurrent use. It implements suture.Service.
 type Guard struct {
 	cfg         Config
 	endDetector endDetector
@@ -77,16 +77,17 @@
 	mu sync.Mutex
 	// stored holds the quarantined requests as last read from the store.
 	stored map[Digest]storedRecord
-	// local holds the ends that this node observed or received from others, whether they are
-	// written to the store or not.
+	// local holds, by request, the ends of targets that this node observed or that other nodes sent
+	// to it, whether these ends are written to the store or not.
 	local *simplelru.LRU[Digest, localRecord]
-	// answered holds the requests that targets recently answered at this node: one end under such a
-	// request has another cause and is not counted. The value is the process of that end; empty if
-	// there was none.
+	// answered holds the requests that targets recently answered for this node: the end of one
+	// target under such a request has another cause and is not counted against the request. The
+	// value is the process that ended; empty if none has ended since the answer.
 	answered *simplelru.LRU[Digest, string]
 }
 
-// storedRecord is a record of the store, and since when this node has had this version.
+// storedRecord is a request's record in the store, with the version of its row. since is when this
+// node first read that version.
 type storedRecord struct {
 	Record
 	version store.Version
@@ -96,11 +97,13 @@
 // localRecord is the information of this node alone on a request.
 type localRecord struct {
 	Record
-	// since is when the node last learned of an end, or failed to reach the store for a claim.
+	// since is when the node last learned of the end of a target under the request, or last failed
+	// to reach the store to claim a probe of the request.
 	since time.Time
 }
 
-// recordView is the record by which a node decides: the store's merged with its own.
+// recordView is the record of a request by which a node decides whether to send the request: the
+// stored record merged with the node's local record.
 type recordView struct {
 	Record
 	// unchanged is how long the record has been the same.
@@ -110,10 +113,14 @@
 	listed bool
 }
 
-// decide returns what may be done with the request. If only this node's own ends put it in
-// quarantine, another node may have seen it answered before this node read the quarantine from the
-// store: then the node tries to claim a probe, which reads the store, but after a local probe not
-// before retryWithoutStore has passed.
+// decide returns what may be done with the request. after is the duration until a refusal ends; 0 if
+// it lasts as long as the record.
+//
+// A request that the store's list does not contain may be in quarantine only because of the ends of
+// targets in this node's local record. Another node may then have seen a target answer the request and
+// removed its stored record. So this node tries to claim a probe, as a claim reads the current record
+// from the store. If it has already sent a probe that it claimed without the store, it does so only
+// once its local record has been unchanged for retryWithoutStore.
 func (k recordView) decide() (d Decision, after time.Duration) {
 	if k.listed || !k.Quarantined() {
 		return k.Record.Decide(k.unchanged)
@@ -166,7 +173,7 @@
 	}
 	for d := range g.stored {
 		if _, ok := next[d]; !ok {
-			// Another node saw it answered, or an operator lifted the quarantine.
+			// A node saw a target answer the request, or an operator lifted the quarantine.
 			g.local.Remove(d)
 			g.cfg.Log.Info("quarantine of a request ended", "digest", d)
 		}
@@ -174,8 +181,8 @@
 	g.stored = next
 }
 
-// RewriteLost writes again what a store that was restored from a copy has lost: records of
-// quarantined requests, and the removal of records of requests that were answered.
+// RewriteLost repeats the writes that a store which was restored from a copy has lost: records of
+// quarantined requests, and the removal of the records of requests that targets answered.
 func (g *Guard) RewriteLost(kept restore.Result) {
 	for _, key := range kept.Reappeared {
 		if d, err := ParseDigest(key); err == nil {
@@ -224,8 +231,8 @@
 	return g.lookup(d).Quarantined()
 }
 
-// Admit reports whether a request that has just arrived may be processed, as far as this node
-// knows. Its error is *Refused.
+// Admit returns nil if a request that has just arrived may be processed as far as this node knows, and
+// otherwise an error of type *Refused.
 func (g *Guard) Admit(d Digest) error {
 	k := g.lookup(d)
 	decision, after := k.decide()
@@ -243,9 +250,10 @@
 	return &Refused{Ends: len(r.Ended), After: after}
 }
 
-// Send decides whether the request may be sent now; lasts is how long it may run. For a quarantined
-// request it claims the probe and returns its name: the request must then be sent alone, and its
-// outcome reported to Ended, Answered or Abandoned. Its error is *Refused.
+// Send decides whether the request may be sent to a target now; lasts is how long the request may run.
+// For a quarantined request Send claims a probe and returns the name of the probe: the request must then
+// be sent alone, and the outcome of the probe reported to Ended, Answered or Abandoned. The error is
+// of type *Refused.
 func (g *Guard) Send(ctx context.Context, d Digest, lasts time.Duration) (probe string, err error) {
 	k := g.lookup(d)
 	decision, after := k.decide()
@@ -261,7 +269,7 @@
 		return "", err
 	}
 	if probe == "" {
-		// The request was answered in the meantime.
+		// A target has answered the request meanwhile, so it is no longer in quarantine.
 		return "", nil
 	}
 	g.stats.probes.Add(1)
@@ -284,7 +292,7 @@
 }
 
 // Ended reports that a run broke off at its target. It checks whether the target's process has
-// ended, and if so writes the end to the store. The channel delivers whether the process has ended,
+// ended, and if so writes this end to the store. The channel delivers whether the process has ended,
 // once the end is written or reportWait has passed: the request should not be sent again earlier.
 func (g *Guard) Ended(r Run) <-chan bool {
 	known := make(chan bool, 1)
@@ -321,9 +329,9 @@
 	return true
 }
 
-// recordLocal records an end that this node observed, and reports whether it counts. Clients may
-// send one message again and again: if a target has just answered it, the next end under it has
-// another cause.
+// recordLocal records the end of a target that this node observed during a run, and reports whether the
+// end counts against the request. Clients may send the same request again and again: if a target has
+// just answered the request, the next end of a target under it has another cause.
 func (g *Guard) recordLocal(r Run) bool {
 	g.stats.ends.Add(1)
 	g.mu.Lock()
@@ -331,7 +339,7 @@
 	if ok && r.Probe == "" && (lastEnded == "" || lastEnded == r.Process) {
 		g.answered.Add(r.Digest, r.Process)
 		g.mu.Unlock()
-		g.cfg.Log.Info("target ended under a recently answered request, end not counted", "digest", r.Digest, "process", r.Process, "addr", r.Addr)
+		g.cfg.Log.Info("target ended under a request that a target recently answered, end not counted against the request", "digest", r.Digest, "process", r.Process, "addr", r.Addr)
 		return false
 	}
 	g.answered.Remove(r.Digest)
@@ -341,7 +349,7 @@
 	return true
 }
 
-// addLocalEnd adds an end to this node's own record of the request. The caller holds g.mu.
+// addLocalEnd adds the end of a process to this node's local record of the request. The caller holds g.mu.
 func (g *Guard) addLocalEnd(d Digest, process, probe string) localRecord {
 	local, _ := g.local.Get(d)
 	local.Record, local.since = local.withEnd(process, probe), time.Now()
@@ -362,8 +370,8 @@
 }
 
 // Abandoned reports that a run ended without an answer while its target still runs, or before the
-// target started to run it. If the run was a probe, the probe is not counted, as it is
-// inconclusive.
+// target started the run. If the run was a probe, the probe is not counted among the probes of the
+// request, as it does not show whether the request crashes targets.
 func (g *Guard) Abandoned(d Digest, probe string) {
 	if probe == "" {
 		return
@@ -376,8 +384,8 @@
 	}
 }
 
-// releaseLocalProbe releases a probe that this node claimed without the store, and reports whether
-// the probe was one. The caller holds g.mu.
+// releaseLocalProbe releases the probe if this node claimed it without the store, and reports whether
+// it did. The caller holds g.mu.
 func (g *Guard) releaseLocalProbe(d Digest, probe string) bool {
 	local, ok := g.local.Get(d)
 	if !ok || local.Probe != probe {
--- a/internal/poison/report.go
+++ b/internal/poison/report.go
@@ -57,7 +57,8 @@
 	written chan struct{}
 }
 
-// queue holds the ops that are to be written, oldest first.
+// queue holds the changes of request records that are still to be written to the store. ops holds those
+// that no write has taken yet, oldest first.
 type queue struct {
 	mu  sync.Mutex
 	ops []op
--- a/internal/poison/sweep.go
+++ b/internal/poison/sweep.go
@@ -9,8 +9,9 @@
 	"topazmoor/internal/store"
 )
 
-// sweepInterval is how often a node may start a removal of old rows; each time, one node does so on
-// average.
+// sweepInterval is the time between two occasions at which a node may start a removal of old rows. At
+// each occasion a node does so with a probability of one divided by the number of nodes, so that on
+// average one node of the fleet does.
 const sweepInterval = recordTTL / 4
 
 // sweep removes rows that have been unchanged for recordTTL, as observed by this node: the store
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -18,12 +18,12 @@
 	return min(int(2*math.Log2(ms)), buckets-1)
 }
 
-// Tally counts the ends of calls at some targets since an order was received.
+// Tally counts the calls to some targets that ended since a node received a roll-out order.
 type Tally struct {
 	// Bad counts failures and answers that broke off.
 	Bad uint32
-	// Took counts the good answers by the duration of their calls. Left counts the calls that were
-	// abandoned without an answer, by their duration until then.
+	// Took counts the good answers by the duration class of their calls. Left counts the calls that
+	// were abandoned without an answer, by the class of their duration until they were abandoned.
 	Took, Left [buckets]uint32
 }
 
@@ -37,7 +37,7 @@
 }
 
 // since returns the counts added after an earlier Tally of the same node. If a count is lower than
-// before, the node restarted: all counts are new then.
+// before, the node restarted, and all counts of t were added after the earlier Tally.
 func (t Tally) since(before Tally) Tally {
 	out := Tally{Bad: t.Bad - before.Bad}
 	restarted := t.Bad < before.Bad
@@ -60,8 +60,9 @@
 	return n
 }
 
-// slowerThan counts the calls in longer duration classes than class, abandoned ones included. It
-// omits calls that were abandoned earlier: how long they would have taken is unknown.
+// slowerThan counts the calls in longer duration classes than the given one, abandoned calls included.
+// It omits calls that were abandoned within the given class or a shorter one: how long these would have
+// taken is unknown.
 func (t Tally) slowerThan(class int) float64 {
 	var n float64
 	for i := class + 1; i < buckets; i++ {
@@ -79,8 +80,8 @@
 	Target string
 }
 
-// Evidence counts the calls of one node for a service since the node received an order. Its counts
-// only rise while the process of the node runs.
+// Evidence counts the calls of one node to the targets of a service since the node received a roll-out
+// order of the service. These numbers only rise while the process of the node runs.
 type Evidence struct {
 	Tallies map[Source]Tally
 	// Sent counts the calls for the service, SentNew those to the new version.
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -148,8 +148,9 @@
 	g.barred[s.Service] = barred[max(len(barred)-maxBarred, 0):]
 }
 
-// Expire expires all shares until the owner answers a new report. It is called after the host was
-// suspended, since the clock of the process did not advance meanwhile.
+// Expire makes the shares of all roll-out orders expire at once; the share of an order is used again
+// when its owner has answered a new report. Expire is called after the host was suspended: the clock of
+// the process did not advance during the suspension, so the shares did not expire by themselves.
 func (g *Gate) Expire() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// badThreshold is the logarithm of the likelihood ratio from which a version counts as bad. It
-	// gives one false detection in about 100,000 answers of a route.
+	// badThreshold is the logarithm of the likelihood ratio from which the new version is judged bad.
+	// It gives one false detection in about 100,000 answers of a route.
 	badThreshold = 11.5
 	// minRate is the lowest rate of bad answers that is assumed of the old version, so that a
-	// single bad answer of the new one is not enough to count it as bad.
+	// single bad answer of the new version is not enough to judge the new version bad.
 	minRate = 0.02
 	// routeExcess is the excess of bad answers on one route that the test detects, overallExcess
 	// that on all routes together; both are shares of the answers.
@@ -28,20 +28,23 @@
 	// minOthersShare is the part of the answers that must come from targets other than the worst
 	// one, for the same reason.
 	minOthersShare = 0.5
-	// oldDecay is the factor on the old version's counts from one step to the next, so that the
-	// comparison uses its present state.
+	// oldDecay is the factor by which the numbers of the old version's answers, bad answers and
+	// calls by duration are reduced at each step, so that the new version is compared with the
+	// present state of the old version.
 	oldDecay = 0.99
-	// recentDecay is the same factor for its failures of the last one or two seconds, minRecentAnswers
-	// the number of recent answers from which their rate is used: a fault that affects both versions
-	// begins and ends at the same time in both.
+	// recentDecay is the factor per step for a second pair of numbers, the old version's recent
+	// answers and recent bad answers, which thus cover the last one or two seconds. From
+	// minRecentAnswers recent answers on, the old version's rate of bad answers is at least the rate
+	// among the recent ones: a fault that affects both versions begins and ends at the same time in
+	// both, so it must not be taken for a fault of the new version.
 	recentDecay      = 0.85
 	minRecentAnswers = 5
 )
 
-// Judge compares two versions by a sequential test of their bad and slow answers, by route and
-// over all routes: the cumulative sum of likelihood ratios between an excess of bad answers and
-// none, which also detects a version that turns bad later. A fault of a single target does not count
-// as a fault of the version.
+// Judge compares the new version of a service with the old one by a sequential test of their bad and
+// slow answers, by route and over all routes: the cumulative sum of likelihood ratios between an excess
+// of bad answers and none, which also detects a version that turns bad later. A fault of a single
+// target does not count as a fault of the version.
 type Judge struct {
 	routes map[string]*comparison
 	all    comparison
@@ -81,14 +84,18 @@
 type comparison struct {
 	// excess is the excess of bad answers, as a share of the answers, that the test detects.
 	excess float64
-	// The counts of the old version decay with oldDecay, the recent ones with recentDecay.
+	// oldAnswers, oldBad, oldTook and oldLeft are the old version's numbers of answers, of bad
+	// answers, and of answered and abandoned calls by duration class; they decay with oldDecay.
+	// recentAnswers and recentBad decay with recentDecay.
 	oldAnswers, oldBad       float64
 	recentAnswers, recentBad float64
 	oldTook                  [buckets]float64
 	oldLeft                  [buckets]float64
-	// answered counts the new version's answers by target, bad its bad and slow ones.
+	// answered counts the new version's answers by target, bad the new version's bad and slow
+	// answers by target.
 	answered, bad map[string]float64
-	// score is the cumulative sum for all targets, others that without the worst target.
+	// score is the cumulative sum of the test over all targets of the new version, others the
+	// cumulative sum over all of them but the worst.
 	score, others float64
 }
 
@@ -185,8 +192,8 @@
 	return buckets
 }
 
-// rate returns the old version's rate of bad and slow answers, or otherwise if the old version has
-// fewer than minOldAnswers.
+// rate returns the old version's rate of bad and slow answers, or the value of otherwise if the old
+// version has fewer than minOldAnswers answers.
 func (c *comparison) rate(otherwise float64) float64 {
 	if c.oldAnswers < minOldAnswers {
 		return otherwise
@@ -243,8 +250,8 @@
 	return worst
 }
 
-// isBad reports whether the new version counts as bad. The worst target is left out if there are
-// enough targets and enough answers of the others.
+// isBad reports whether the new version is judged bad. The worst target is left out if the new version
+// has enough targets and enough answers come from the other ones.
 func (c *comparison) isBad() bool {
 	worst := c.worst()
 	var all, others float64
@@ -260,7 +267,7 @@
 	return c.others >= badThreshold
 }
 
-// Bad reports whether the new version counts as bad, and why.
+// Bad reports whether the new version is judged bad, and why.
 func (j *Judge) Bad() (reason string, bad bool) {
 	for name, c := range j.routes {
 		if c.isBad() {
@@ -273,7 +280,8 @@
 	return "", false
 }
 
-// describe returns the counts of the comparison as text for operators.
+// describe returns the new version's numbers of answers and of bad or slow answers, and the old
+// version's rate of these, as text for operators.
 func (c *comparison) describe() string {
 	var answers, bad float64
 	for target, n := range c.answered {
--- a/internal/rollout/owner.go
+++ b/internal/rollout/owner.go
@@ -8,32 +8,34 @@
 	"time"
 )
 
-// ErrSuperseded reports that the store has the record of a newer order of the service.
+// ErrSuperseded reports that the store has the record of a newer roll-out order of the same service.
 var ErrSuperseded = errors.New("rollout: a newer order of the service stands")
 
-// RecordStore writes the records of orders to the store.
+// RecordStore writes the records of roll-out orders to the store.
 type RecordStore interface {
-	// Save writes a record. If the store already has a record of the same order, Save replaces it
-	// only if it is not final and r is. Save returns the record that the store has afterwards. It
-	// fails with ErrSuperseded, or with an error of the store.
+	// Save writes the record r of an order. If the store already has a record of the same order, Save
+	// replaces the stored record only if its state is not final and the state of r is. Save returns
+	// the record that the store has afterwards. It fails with ErrSuperseded, or with an error of the
+	// store.
 	Save(ctx context.Context, r Record) (Record, error)
 }
 
 const (
-	// stepInterval is the time between two steps of an order.
+	// stepInterval is the time between two steps of a roll-out order; each step decides on the state
+	// of the order and the share of calls that go to the new version.
 	stepInterval = 200 * time.Millisecond
 	// saveTimeout is the timeout of one write to the store.
 	saveTimeout = 2 * time.Second
 )
 
-// Owner aggregates the reports on orders and decides on the orders. Each node has an Owner. The
-// reporting nodes choose the one that they report to, so two nodes may own an order at the same time.
-// It is safe for concurrent use.
+// Owner aggregates the nodes' reports on roll-out orders and decides on the orders. Each node has an
+// Owner. Each reporting node chooses the Owner that it reports to, so two nodes may own an order at the
+// same time. An Owner is safe for concurrent use.
 type Owner struct {
 	Bounds      Bounds
 	RecordStore RecordStore
-	// Targets returns the counts of the service's targets that this node knows of. Their field New
-	// counts those of version.
+	// Targets returns the numbers of the service's targets that this node knows of; in the result, New
+	// is the number of targets of the given version.
 	Targets func(service, version string) Targets
 	// Nodes returns the number of nodes of the fleet.
 	Nodes func() int
@@ -53,13 +55,14 @@
 	o      *Owner
 	record Record
 	trial  *Trial
-	// releases holds, by node, a channel that ends the hold of its last report when closed.
+	// releases holds, by reporting node, a channel that ends the hold of the node's last report when
+	// closed.
 	releases map[string]chan struct{}
 	step     Step
 	answer   Answer
 	// changed is closed when the answer changes.
 	changed chan struct{}
-	// saved says that the store has the present record.
+	// saved says that the store has the present value of record.
 	saved bool
 	// dropped says that the owner makes no more decisions on the run.
 	dropped bool
@@ -163,7 +166,7 @@
 	return x
 }
 
-// decide takes a step of the order in each stepInterval until the run is removed.
+// decide takes a step of the run's order in each stepInterval until the run is removed.
 func (x *run) decide() {
 	tick := time.NewTicker(stepInterval)
 	defer tick.Stop()
@@ -182,7 +185,7 @@
 	}
 }
 
-// save writes the record to the store, and takes over the one that the store has afterwards.
+// save writes the run's record to the store, and takes over the record that the store has afterwards.
 func (x *run) save() {
 	w := x.o
 	w.mu.Lock()
@@ -250,12 +253,14 @@
 	}
 	x.record.State, x.record.Reason, x.saved = step.State, step.Reason, false
 	if step.State == RolledBack {
-		// The share is withdrawn before the store has the record.
+		// The nodes get an answer without a share at once, so that they stop sending calls to the new
+		// version before the store has the record of the roll-back.
 		x.publish(Answer{State: Running})
 	}
 }
 
-// publish sets the answer and sends it to the nodes whose reports are held. The lock is held.
+// publish sets the answer of the run and sends it to the nodes whose reports on the order are held. The
+// lock is held.
 func (x *run) publish(a Answer) {
 	if a == x.answer {
 		return
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -52,7 +52,7 @@
 	Deadline time.Time `json:"deadline"`
 }
 
-// TargetGroup is a group of targets of a service that a call may go to.
+// TargetGroup is the group of targets of a service, selected by their versions, that a call may go to.
 type TargetGroup struct {
 	// Version is the version of its targets; "" for any.
 	Version string
--- a/internal/rollout/trial.go
+++ b/internal/rollout/trial.go
@@ -28,7 +28,8 @@
 	pending    map[Source]Tally
 	steps      int
 	awaited    time.Time
-	// doubted is since when the new version looks bad in incomplete evidence; zero if it doesn't.
+	// doubted is the time at which the new version first looked bad since the evidence was last
+	// complete; zero if it has not looked bad since then.
 	doubted time.Time
 }
 
--- a/internal/scheduler/acquire.go
+++ b/internal/scheduler/acquire.go
@@ -67,7 +67,8 @@
 	}
 	s.mu.Unlock()
 	if !removed {
-		// The call left the queue at the same time: a granted slot is returned.
+		// The call was taken from the queue, with a grant or an error, while its wait ended here. As
+		// the caller gets the error of the ended wait, the lease of a grant is released.
 		if g := <-w.done; g.lease != nil {
 			g.lease.Release(Abandoned)
 		}
@@ -75,7 +76,8 @@
 	return nil, err
 }
 
-// retryAfter estimates how long serving the current queue takes, at least a second.
+// retryAfter estimates how long a new call of the class would wait in the pool's queue now. It returns
+// at least a second.
 func (s *Scheduler) retryAfter(p *pool, class catalog.Class) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -196,7 +196,8 @@
 
 // Ledger configures claims of idempotency keys.
 type Ledger struct {
-	// RepeatWindow is how long a repeated key is recognised. Default 24h.
+	// RepeatWindow is how long a request is recognised as the repetition of an earlier one
+	// with the same idempotency key. Default 24h.
 	RepeatWindow Duration `json:"repeat_window"`
 	// CommitInterval is the minimum time between two grouped commits of one
 	// node. Together with Committers it bounds the writes per second.
--- a/internal/sharedrate/broker.go
+++ b/internal/sharedrate/broker.go
@@ -8,19 +8,21 @@
 
 const (
 	// askTimeout bounds one permit request to another node. A round trip takes 1 to 3 ms, and a
-	// busy node may respond some tens of ms late. Requests that need a permit wait meanwhile.
+	// busy node may respond some tens of ms late. The client requests that need the permit wait for
+	// the response.
 	askTimeout = 150 * time.Millisecond
-	// skipTime is how long after its last failure to answer a node is not asked for permits.
+	// skipTime is how long a node that failed to answer a permit request is not asked for permits,
+	// counted from its last such failure.
 	skipTime = 2 * time.Second
 	// failedAfter is the time between the first and the last of consecutive failures to answer from
-	// which on a node is treated as failed: the next node in the order then takes its place and its
-	// share.
+	// which on a node is treated as failed: the next node in the order of granters then takes the
+	// place of the failed node, and its share of the rate.
 	failedAfter = 3 * time.Second
 	// predecessorCheckInterval is the shortest time between two checks of a node that comes earlier
 	// in the order, by a node that grants in its place.
 	predecessorCheckInterval = 500 * time.Millisecond
-	// retryNoGranter is how long a node waits before it asks for permits of a rate again after it
-	// reached no granter.
+	// retryNoGranter is how long a node waits, after a permit request that no granter answered,
+	// before it asks for permits of the same rate again.
 	retryNoGranter = 300 * time.Millisecond
 	// initialShare is the share of a rate that the first granter gives out before it knows which
 	// fraction of the nodes it reaches.
@@ -39,14 +41,16 @@
 	peers   map[string]*peerHealth
 	swept   time.Time
 	counts  Counts
-	// known is set by the first SetNodes.
+	// known reports that SetNodes has been called. Until then the other nodes are unknown, so that
+	// no granter can be chosen.
 	known        bool
 	reachability reachability
 }
 
 // Counts are the totals of one node since its process started.
 type Counts struct {
-	// Taken counts the permits that requests of this node got, Denied the requests that got none.
+	// Taken counts the permits that client requests at this node got, Denied the client requests
+	// that got none.
 	Taken, Denied float64
 	// Granted counts the permits that this node granted, RequestsAnswered the permit requests that
 	// it answered.
@@ -55,8 +59,8 @@
 
 // peerHealth records whether another node answers.
 type peerHealth struct {
-	// failingSince is when the first of the current consecutive failures to answer was seen; zero
-	// while the node answers. lastFailure is when the last failure was seen.
+	// failingSince is the time of the first of the other node's current consecutive failures to
+	// answer; zero while the other node answers. lastFailure is the time of the last failure.
 	failingSince, lastFailure time.Time
 	// lastCheck is when this node last checked, with an empty request, whether the other one
 	// answers.
@@ -75,7 +79,8 @@
 	}
 }
 
-// SetNodes replaces the set of other nodes. Before the first call there are no permits.
+// SetNodes replaces the set of other nodes. Before the first call of SetNodes no permits are requested,
+// as GranterFor returns no node.
 func (b *Broker) SetNodes(others []Node, now time.Time) {
 	b.owners.Set(others, now)
 	b.known = true
@@ -112,8 +117,8 @@
 // GiveBack returns an unused permit to the cache.
 func (b *Broker) GiveBack(key string, p Permit, now time.Time) { b.permitCache(key).giveBack(p, now) }
 
-// PermitRequest builds the permit request for waiting requests, the last of which gives up at
-// latest.
+// PermitRequest builds the permit request of this node for its client requests that wait for permits
+// of the rate. waiting is the number of these client requests; the last of them gives up at latest.
 func (b *Broker) PermitRequest(rate Rate, waiting int, latest, now time.Time) PermitRequest {
 	return PermitRequest{
 		Key: rate.Key, Asker: b.self.Name, PerSecond: rate.PerSecond, Heard: now.Sub(rate.Heard),
--- a/internal/sharedrate/broker_test.go
+++ b/internal/sharedrate/broker_test.go
@@ -19,8 +19,9 @@
 	return n
 }
 
-// Permits granted before a process started, by its predecessor or by another first granter, may
-// still be in use: a new granter starts with a fifth of the rate.
+// A node that has just started, or that has become the first granter of a rate because others left
+// the node list, gives out only a fifth of the rate for the next 3 seconds: permits that its previous
+// process or the previous first granter granted may still be in use.
 func TestGranterThatWasNotTheFirstBeginsWithLess(t *testing.T) {
 	c := qt.New(t)
 	b := NewBroker(Node{Name: "n0"}, nil, began)
@@ -43,8 +44,8 @@
 	c.Check(settling > 3 && settling < 10, qt.IsTrue, qt.Commentf("%d of 10 rates had another first node", settling))
 }
 
-// An expired permit is dropped, also when it is given back: unused permits of one second must not
-// add to those of the next.
+// An expired permit is dropped, also when a request gives it back unused: the permits that were not
+// used in one second must not add to the permits of the next second.
 func TestPermitsAreNotKept(t *testing.T) {
 	c := qt.New(t)
 	var h permitCache
--- a/internal/sharedrate/granter.go
+++ b/internal/sharedrate/granter.go
@@ -13,7 +13,8 @@
 	// Asker is the name of the requesting node.
 	Asker string
 	// PerSecond is the rate that the requesting node last observed, in requests per second. Heard
-	// is the time since that observation, or, with Ended, since the end of the limit was observed.
+	// is the duration since that observation or, with Ended, since the node observed the end of the
+	// limit.
 	PerSecond float64
 	Heard     time.Duration
 	// Ended reports that the requesting node observed the end of the limit.
@@ -30,10 +31,11 @@
 	// negative: a slot that has passed may be used at once.
 	Permits          int
 	FirstIn, Spacing time.Duration
-	// RetryAfter is how long to wait before the next request, where fewer permits were granted than
-	// wanted.
+	// RetryAfter is how long the requesting node waits before its next permit request, if it was
+	// granted fewer permits than it wanted.
 	RetryAfter time.Duration
-	// Ended reports that the limit has ended; Heard is the time since a node observed this.
+	// Ended reports that the target no longer has a rate limit, so that requests need no permits.
+	// Heard is then the duration since a node observed the end of the limit; 0 without Ended.
 	Ended bool
 	Heard time.Duration
 }
@@ -51,18 +53,20 @@
 	// part of it. Permits granted over BoundWindow plus permitTTL can be used within one
 	// BoundWindow.
 	permitTTL = 300 * time.Millisecond
-	// catchUpTime and minCatchUp bound how many unused past slots a granter of a whole rate still
-	// gives out: the slots of catchUpTime, plus minCatchUp. Nodes ask for a slot some time after it
-	// opens.
+	// catchUpTime and minCatchUp bound how many slots that passed without being granted a granter
+	// of a whole rate still gives out: the slots of the last catchUpTime, plus minCatchUp. This is
+	// needed because nodes ask for a slot some time after it opens.
 	catchUpTime = 100 * time.Millisecond
 	minCatchUp  = 1
-	// horizon is how far in the future the slots are that may be granted.
+	// horizon is how long before it opens a slot may be granted.
 	horizon = time.Second
-	// minPerSecond is the rate that is granted where the target advertises a lower one or zero:
-	// only the answer to a request shows that the limit was raised.
+	// minPerSecond is the rate of the granted permits if the target advertises a lower rate or zero:
+	// some requests must still be sent, as only the answer to a request shows that the target has
+	// raised its limit.
 	minPerSecond = 0.1
-	// maxRequestsPerSlot is the target number of permit requests per slot; with fewer, some slots
-	// would stay unused. requestWindow is the shortest time over which the requests are counted.
+	// maxRequestsPerSlot is the number of permit requests per slot of a rate that countRequest aims
+	// at; with fewer, some slots would stay unused. requestWindow is the shortest duration over
+	// which these requests are counted.
 	maxRequestsPerSlot = 6
 	requestWindow      = time.Second
 	// maxRetrySpread bounds the random delay that is added to the time until the next slot when a
@@ -81,7 +85,8 @@
 // within the bound.
 var shares = []float64{1, 0.2, 0.1}
 
-// settlingShare bounds the share of a granter while another one may still grant the same rate.
+// settlingShare bounds the share of a rate that a granter gives out while another granter may still
+// grant permits of the same rate, or while permits that it granted may still be in use.
 const settlingShare = 0.2
 
 // Granter grants the permits of the rates that other nodes and this one ask for. It must not be
@@ -96,13 +101,14 @@
 // rateState is the state of one rate.
 type rateState struct {
 	perSecond float64
-	// confirmedAt is when a node last observed perSecond; ended is when a node observed the end
-	// of the limit, zero if none did.
+	// confirmedAt is the time at which a node last observed perSecond. ended is the time at which a
+	// node observed the end of the limit; zero if no node did.
 	confirmedAt, ended time.Time
 	// nextSlot is the time of the first slot that is not granted yet.
 	nextSlot time.Time
-	// requests counts the permit requests since countedSince. retrySpread bounds the random delay
-	// after which a node that got fewer permits than it wanted asks again.
+	// requests is the number of permit requests for this rate since countedSince. retrySpread is
+	// the bound of the random delay that is added to the RetryAfter of a node that got fewer permits
+	// than it wanted. lastRequest is the time of the last permit request.
 	requests     int
 	countedSince time.Time
 	retrySpread  time.Duration
@@ -114,7 +120,7 @@
 	return &Granter{Rand: random, rates: make(map[string]*rateState)}
 }
 
-// Grant answers a permit request, as a granter that gives out this share of the rate.
+// Grant answers a permit request, as a granter that gives out the given share (0 to 1) of the rate.
 func (g *Granter) Grant(a PermitRequest, share float64, now time.Time) Grant {
 	r := g.rates[a.Key]
 	if r == nil {
@@ -206,7 +212,7 @@
 	r.requests, r.countedSince = 0, now
 }
 
-// Sweep removes the rates that no node has asked for within idleTTL.
+// Sweep removes the state of rates for which no node has requested permits within idleTTL.
 func (g *Granter) Sweep(now time.Time) {
 	for key, r := range g.rates {
 		if now.Sub(r.lastRequest) > idleTTL {
@@ -215,7 +221,7 @@
 	}
 }
 
-// Rates returns the number of rates with state.
+// Rates returns the number of rates of which the granter keeps state.
 func (g *Granter) Rates() int { return len(g.rates) }
 
 // interval returns the time between two slots of a rate.
--- a/internal/stagebatch/burst_test.go
+++ b/internal/stagebatch/burst_test.go
@@ -16,8 +16,8 @@
 	"topazmoor/internal/targets"
 )
 
-// healthyTargets are targets of a pool that take the nominal time, have space, and never fail.
-// It implements Worker.
+// healthyTargets are targets of a pool that take the nominal time for each call, have space for all
+// results, and never fail. It implements Worker.
 type healthyTargets struct{ spec *routes.Batch }
 
 // Run implements Worker.
@@ -44,11 +44,12 @@
 	rank      int
 	perSecond float64
 	deadline  time.Duration
-	// asked is the number of its orders, inTime the number of those that were in time.
+	// asked is the number of orders of this kind that have ended, inTime the number of those that
+	// succeeded by their due time.
 	asked, inTime int
 }
 
-// share returns the share of the orders that were in time.
+// share returns the fraction of the orders of this kind that succeeded by their due time.
 func (k *orderKind) share() float64 { return float64(k.inTime) / float64(k.asked) }
 
 // playBurst simulates 12 of the 15 targets of the middle pool of a chain (one data centre is
@@ -95,8 +96,8 @@
 	return urgent, other
 }
 
-// In a burst of one kind of order, orders of the less urgent kind are in time nearly as often,
-// and orders of the more urgent kind at least as often as these.
+// In a burst of orders of the more urgent kind, most orders of the less urgent kind must still be
+// completed by their due time, and orders of the more urgent kind about as often or more often.
 func TestBurstOfOneKindLeavesNobodyBehind(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		urgent, other := playBurst(t, 0)
@@ -107,8 +108,9 @@
 	})
 }
 
-// BenchmarkBurstOfOneKind reports the shares in time for the same burst. They are 0.97 and 0.12
-// with strict ranks, and 0.91 and 0.71 with rank steps of 150 ms.
+// BenchmarkBurstOfOneKind reports, for the same burst, the fractions of the urgent and of the other
+// orders that were completed by their due time. The fractions are 0.97 and 0.12 with strict ranks, and
+// 0.91 and 0.71 with rank steps of 150 ms.
 func BenchmarkBurstOfOneKind(b *testing.B) {
 	var urgent, other *orderKind
 	for b.Loop() {
--- a/internal/stagebatch/estimate.go
+++ b/internal/stagebatch/estimate.go
@@ -53,8 +53,8 @@
 	// maxRanks bounds the number of ranks that estimates distinguish. Accounts and routes have
 	// two to four priorities each.
 	maxRanks = 16
-	// rateWindow is the period over which arrived and produced pieces are counted. It spans
-	// several calls of each target.
+	// rateWindow is the period over which the pieces that arrived at a pool, and those that it
+	// produced, are counted. It spans several calls of each target.
 	rateWindow = 1500 * time.Millisecond
 	// minShare is the minimum share of a pool's rate that estimates assign to a rank, however
 	// many more urgent pieces arrive, as bursts end within seconds.
@@ -70,12 +70,12 @@
 	// busySince is the last time at which a call ended with an empty queue, at first the time at
 	// which the pool was created: since then pieces have waited at the end of each call.
 	busySince time.Time
-	// ranks is one more than the highest rank seen.
+	// ranks is one more than the highest rank of the orders that have arrived.
 	ranks int
 
 	waits   Waits
 	waitsAt time.Time
-	// nextLateCheck is when the late orders are checked again.
+	// nextLateCheck is the time from which failHopeless checks the late orders again.
 	nextLateCheck time.Time
 }
 
@@ -102,7 +102,8 @@
 	t.arrived = append(recent(t.arrived, now), pieceCount{at: now, rank: rank, pieces: pieces})
 }
 
-// recordProduced counts the pieces of a completed call. queued is the length of the queue.
+// recordProduced counts the pieces of a completed call. queued is the number of pieces in the pool's
+// queue.
 func (t *traffic) recordProduced(pieces, queued int, now time.Time) {
 	t.produced = append(recent(t.produced, now), pieceCount{at: now, pieces: pieces})
 	if queued == 0 {
@@ -209,7 +210,9 @@
 	good += float64(p.working.unusedTargets())
 	idle += p.working.unusedTargets()
 	if good == 0 {
-		// Some targets recover within the period that the estimates cover.
+		// Each target of the pool is paused, rests, is slow or has a rate limit of zero. The
+		// estimates count one target, not none, as some targets recover within the period that the
+		// estimates cover.
 		return 1, idle
 	}
 	return good, idle
@@ -218,9 +221,9 @@
 // lateCheckInterval is how often the late orders of a pool are checked.
 const lateCheckInterval = 200 * time.Millisecond
 
-// failHopeless fails the late orders that cannot be completed by their deadline: all other
-// orders go first, and more arrive. Their callers get the error at once, while they can still
-// retry, and not at the deadline.
+// failHopeless fails the late orders that cannot be completed by their deadline, because all orders
+// that are not late go first and more of these arrive. The callers of the failed orders get the error
+// at once, while they can still retry, and not at the deadline.
 func (p *pool) failHopeless(spec *routes.Batch, now time.Time) {
 	if now.Before(p.nextLateCheck) {
 		return
--- a/internal/stagebatch/former.go
+++ b/internal/stagebatch/former.go
@@ -20,7 +20,7 @@
 	Name string
 	// Regions maps each data centre to its region.
 	Regions region.Map
-	// Off are the mechanisms that an experiment disables.
+	// Off holds the mechanisms of the former that an experiment disables.
 	Off mechanism.Set
 	// Guard tracks the orders during which targets ended; nil disables this.
 	Guard Guard
@@ -32,7 +32,7 @@
 
 	mu    sync.Mutex
 	pools map[string]*pool
-	// orders counts all orders; it numbers them.
+	// orders counts the orders that this former accepted; an order's number (seq) is taken from it.
 	orders uint64
 	// releasing holds the handles of results to be released, by the address of their target.
 	releasing map[string][]string
@@ -125,16 +125,17 @@
 	return out
 }
 
-// Free releases results.
+// Free releases the stage results with the given handles at the targets that hold them.
 func (f *Former) Free(service string, handles []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.release(service, handles)
 }
 
-// FreeIfNearlyFull releases results that were read if their target is nearly full. The stage that
-// read them has not ended: if it fails, its piece is produced again from the same results, and
-// if these are gone all stages of the request must run again.
+// FreeIfNearlyFull releases stage results that a later stage has read, if the target that holds them is
+// nearly full. Otherwise the results are kept, as the stage that read them has not ended: if that stage
+// fails, its piece is produced again from the same results, and if these are gone all stages of the
+// request must run again.
 func (f *Former) FreeIfNearlyFull(service string, handles []string) {
 	spec := f.spec(service)
 	f.mu.Lock()
@@ -165,7 +166,8 @@
 	return p
 }
 
-// hasTarget reports whether the working set has a target in the given regions. The lock is held.
+// hasTarget reports whether the pool's working set, the targets that this former uses, contains a
+// target in the given regions. The lock is held.
 func (f *Former) hasTarget(p *pool, in region.Set) bool {
 	for _, m := range p.states {
 		if f.Regions.Allows(in, m.DataCentre) {
@@ -225,7 +227,7 @@
 	m.perSecond, m.bounded = f.list.RateBound(t.Process())
 }
 
-// pump starts calls at all free targets. The lock is held.
+// pump starts calls for the queued pieces at the free targets of the pool. The lock is held.
 func (f *Former) pump(service string, p *pool, spec *routes.Batch) {
 	if len(p.queue) == 0 {
 		return
@@ -259,7 +261,8 @@
 	}
 }
 
-// fill gives a free target a batch of queued orders that fit. The lock is held.
+// fill takes a batch of pieces that fits a free target from the queue of its pool (see take) and starts
+// the call. The lock is held.
 func (f *Former) fill(service string, p *pool, m *targetState, spec *routes.Batch, now time.Time, pl placement) {
 	var batch []*piece
 	batch, p.queue = take(p.queue, spec, m.freeBytes(spec, now), now, pl)
@@ -285,8 +288,8 @@
 // wakeInterval is how often a queue that waits for paused or full targets is checked.
 const wakeInterval = 50 * time.Millisecond
 
-// wakeLater schedules another check of a non-empty queue: pauses end and results expire without
-// any other event. The lock is held.
+// wakeLater schedules another check of a non-empty queue, because the pause of a target ends, and the
+// results that fill a target expire, without an event that would cause a check. The lock is held.
 func (f *Former) wakeLater(service string, p *pool, spec *routes.Batch, now time.Time) {
 	if len(p.queue) == 0 || now.Before(p.wakeAt) {
 		return
--- a/internal/stagebatch/means.go
+++ b/internal/stagebatch/means.go
@@ -26,8 +26,9 @@
 	// (BenchmarkStagePools of package experiment).
 	orderSeconds = 0.0003
 	// classRatio is the factor by which a node may have less capacity than the strongest node
-	// and still belong to its class. Hashing distributes the services over the nodes of a class.
-	// A node of the weaker class forms no batches while one of the strongest class is available:
+	// and still belong to the strong capacity class; all other nodes form the weak class. Hashing
+	// distributes the services over the nodes of a class. A node of the weak class forms no
+	// batches while a node of the strong class is available:
 	// a node with a 10 Mbit/s link that formed the batches of two pools at 730 orders a second
 	// delayed all of them by over 250 ms, while nodes with 200 Mbit/s were available.
 	classRatio = 4
@@ -42,9 +43,10 @@
 	return min(link, processors)
 }
 
-// rankNodes sorts nodes into the order in which they form the batches of a service: the
-// strongest class first, and within each class by rendezvous hashing. All nodes that have the
-// same node list get the same order.
+// rankNodes sorts nodes by their precedence for forming the batches of a service: first the nodes of
+// the strong capacity class (see classRatio), then those of the weak class, and within each class by
+// rendezvous hashing of the service and the node name. All nodes that have the same node list get the
+// same result.
 func rankNodes(service string, nodes []Node) {
 	best := 0.0
 	for _, n := range nodes {
--- a/internal/stagebatch/permits.go
+++ b/internal/stagebatch/permits.go
@@ -15,8 +15,8 @@
 	// bounded means that the target accepts only perSecond calls a second.
 	bounded   bool
 	perSecond float64
-	// permit is for the next call. requestingPermit means that a request for a permit is in
-	// progress. Before permitOpensAt no permit is available.
+	// permit is the permit for the next call to the target. requestingPermit means that the former
+	// is requesting one. permitOpensAt is the time before which no permit is available.
 	permit           sharedrate.Permit
 	requestingPermit bool
 	permitOpensAt    time.Time
@@ -41,7 +41,8 @@
 	return min(m.perSecond*expected(spec, spec.Items).Seconds(), 1)
 }
 
-// permitAhead is how long a permit is waited for. Permits are granted no further ahead.
+// permitAhead is the longest wait for a permit, as permits are granted at most that long before they
+// can be used.
 const permitAhead = time.Second
 
 // requestPermits requests a permit for each idle rate-limited target that has none. The lock is
@@ -75,9 +76,9 @@
 	f.pump(service, f.pool(service), spec)
 }
 
-// mayRelease reports whether the collected results of a target may be released now. At a
-// rate-limited target releases count against the same limit as calls, so they are sent only if
-// the target is nearly full; otherwise the results expire.
+// mayRelease reports whether the former may now tell the target at addr to free the results that are
+// collected for release. At a rate-limited target such a request counts against the same limit as
+// calls, so it is sent only if the target is nearly full; otherwise the results expire there.
 func (f *Former) mayRelease(service, addr string) bool {
 	process, bounded := f.list.RateBoundedAt(addr)
 	if !bounded {
@@ -98,8 +99,8 @@
 	return err == nil
 }
 
-// processNearlyFull reports whether the target with the given process may lack space for its
-// next call.
+// processNearlyFull reports whether the target with the given process may lack space for the results
+// of its next call.
 func (f *Former) processNearlyFull(service, process string, spec *routes.Batch) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standin/memnet/memnet.go
+++ b/internal/standin/memnet/memnet.go
@@ -427,7 +427,8 @@
 	close(ch)
 }
 
-// expire closes the channel of a deadline that was not replaced.
+// expire closes ch when the timer of the deadline fires. It does nothing if set has meanwhile removed
+// the deadline or given it another channel.
 func (d *deadline) expire(ch chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -120,7 +120,7 @@
 	if len(probs) > 0 {
 		return probs
 	}
-	return eris.Wrap(err, "decode")
+	return eris.Wrap(err, "decode tree")
 }
 
 var unmarshalerType = reflect.TypeFor[json.Unmarshaler]()
--- a/internal/watch/copy.go
+++ b/internal/watch/copy.go
@@ -156,8 +156,8 @@
 	return xxhash.Sum64(binary.BigEndian.AppendUint64(buf, uint64(r.Version.Number)))
 }
 
-// ResetVersion is the version that a follower sends to have its copy replaced by the current whole table,
-// as its rows differ.
+// ResetVersion is the version that a follower sends for a table to have its copy replaced by the current
+// whole table, after it found a copy that differs at the same version from that of the node it follows.
 var ResetVersion = store.Version{Number: -2}
 
 // wholeMaxAge is for how long CachedSince reuses an update with the whole table. While all nodes and targets
@@ -217,8 +217,9 @@
 	}
 }
 
-// wholeUpdate returns an update with the whole table; one built less than life ago may be reused. The
-// caller holds c.mu.
+// wholeUpdate returns an update that contains the whole table. It reuses the last such update if the
+// table has not changed since, or if that update was built less than life ago and the copy still holds
+// all changes since. The caller holds c.mu.
 func (c *Copy) wholeUpdate(life time.Duration) *News {
 	now := time.Now()
 	old := c.whole == nil || c.wholeAt.Version.Before(c.base) || now.Sub(c.wholeBuilt) >= life
