--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -53,8 +53,8 @@
 	Store store.Tables
 	// Dial opens a connection to a target, to check whether its process still runs.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// OtherAddrs returns the addresses of the other nodes. SendEndsTo sends ends that could not be
-	// written to the store to one of them; nil disables this.
+	// OtherAddrs returns the addresses of the other nodes. SendEndsTo sends ends of targets that
+	// could not be written to the store to the node at addr; nil disables this.
 	OtherAddrs func() []string
 	SendEndsTo func(ctx context.Context, addr string, ends []End) error
 	// OnProcessEnd, if set, is called with each process that has ended.
@@ -106,7 +106,7 @@
 // stored record merged with the node's local record.
 type recordView struct {
 	Record
-	// unchanged is how long the record has been the same.
+	// unchanged is how long this node has seen the record unchanged.
 	unchanged time.Duration
 	// listed reports that the store's list of quarantined requests, as last read, contains the
 	// request.
@@ -204,7 +204,7 @@
 	g.cfg.Log.Info("rewriting quarantines that the store lost", "lost", len(kept.Lost), "undone", len(kept.Reappeared))
 }
 
-// lookup returns the record of a request as this node knows it.
+// lookup returns the record of a request: the stored record as last read, merged with the local one.
 func (g *Guard) lookup(d Digest) recordView {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -349,7 +349,8 @@
 	return true
 }
 
-// addLocalEnd adds the end of a process to this node's local record of the request. The caller holds g.mu.
+// addLocalEnd adds the end of a target's process to this node's local record of the request. The caller
+// holds g.mu.
 func (g *Guard) addLocalEnd(d Digest, process, probe string) localRecord {
 	local, _ := g.local.Get(d)
 	local.Record, local.since = local.withEnd(process, probe), time.Now()
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -20,7 +20,7 @@
 
 // Tally counts the calls to some targets that ended since a node received a roll-out order.
 type Tally struct {
-	// Bad counts failures and answers that broke off.
+	// Bad counts the calls that failed or whose answer broke off.
 	Bad uint32
 	// Took counts the good answers by the duration class of their calls. Left counts the calls that
 	// were abandoned without an answer, by the class of their duration until they were abandoned.
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -17,7 +17,8 @@
 	// that on all routes together; both are shares of the answers.
 	routeExcess   = 0.15
 	overallExcess = 0.07
-	// slowTail is the part of the old version's calls that may count as slow.
+	// slowTail is the largest part of the old version's calls that may be longer than the duration
+	// class above which answers are slow (see slowFrom).
 	slowTail = 0.02
 	// minOldAnswers is the number of the old version's answers from which its durations and its
 	// rate of bad answers are known.
@@ -25,8 +26,9 @@
 	// minTargets is the number of targets below which a fault of one target cannot be
 	// distinguished from a fault of the version.
 	minTargets = 3
-	// minOthersShare is the part of the answers that must come from targets other than the worst
-	// one, for the same reason.
+	// minOthersShare is the part of the new version's answers that must come from targets other than
+	// the worst one before the worst target is left out of the test: with fewer, a fault of the
+	// worst target cannot be distinguished from a fault of the version.
 	minOthersShare = 0.5
 	// oldDecay is the factor by which the numbers of the old version's answers, bad answers and
 	// calls by duration are reduced at each step, so that the new version is compared with the
@@ -99,7 +101,8 @@
 	score, others float64
 }
 
-// Add adds the tallies since the last call and decays the old version's counts by one step.
+// Add adds the tallies since the last call of Add. Before that it decays the numbers of the old
+// version's answers by one step.
 func (j *Judge) Add(delta map[Source]Tally) {
 	j.decayOld()
 	for source, t := range delta {
@@ -130,8 +133,8 @@
 	good, bad float64
 }
 
-// classify divides the answers of a target into good ones, and bad or slow ones. Answers are slow
-// by comparison with the old version on the same route.
+// classify divides the answers of a target of the new version into good ones, and bad or slow ones. An
+// answer is slow by comparison with the old version's answers on the same route.
 func (j *Judge) classify(source Source, t Tally) targetCount {
 	slow := t.slowerThan(j.route(source.Route).slowFrom())
 	var took float64
--- a/internal/rollout/owner.go
+++ b/internal/rollout/owner.go
@@ -68,8 +68,9 @@
 	dropped bool
 }
 
-// Report adds a report to the evidence of its order. It answers once the answer differs from the one
-// that the node has, once the report's hold is over, or once the node sends its next report.
+// Report adds a report to the evidence on the order that it names. It returns the answer of the order
+// once this differs from the answer that the reporting node has, once the report's hold is over, or
+// once the node sends its next report.
 func (w *Owner) Report(ctx context.Context, r Report) (Answer, error) {
 	release := make(chan struct{})
 	x := w.addReport(r, release)
@@ -130,8 +131,8 @@
 	clear(w.runs)
 }
 
-// addReport adds a report to the run of its order, and starts one if there is none. It returns nil if
-// the owner is closed.
+// addReport adds a report to the run of the order that the report names, and starts the run if there is
+// none. It returns nil if the owner is closed.
 func (w *Owner) addReport(r Report, release chan struct{}) *run {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/scheduler/acquire.go
+++ b/internal/scheduler/acquire.go
@@ -144,8 +144,8 @@
 	return &Lease{Target: p.candidates[i].Target, s: s, p: p, t: t, stage: c.Stage, model: c.Model, start: now}
 }
 
-// limitFactor multiplies, by class, the limit on this node's calls in flight at a
-// target; see docs/design/005-flow.md.
+// limitFactor holds, by priority class of a call, the factor on the limit of this
+// node's calls in flight at a target; see docs/design/005-flow.md.
 var limitFactor = [catalog.Classes]float64{catalog.Urgent: 2, catalog.Standard: 1, catalog.Batch: 0.75}
 
 // waiter is a call in the queue of a pool.
--- a/internal/sharedrate/broker.go
+++ b/internal/sharedrate/broker.go
@@ -62,8 +62,8 @@
 	// failingSince is the time of the first of the other node's current consecutive failures to
 	// answer; zero while the other node answers. lastFailure is the time of the last failure.
 	failingSince, lastFailure time.Time
-	// lastCheck is when this node last checked, with an empty request, whether the other one
-	// answers.
+	// lastCheck is the time at which this node last checked, with an empty permit request, whether
+	// the other node answers.
 	lastCheck time.Time
 }
 
@@ -148,9 +148,9 @@
 	b.permitCache(key).add(*g, now)
 }
 
-// ErrNotReady is the cause of a permit request that this node could not send. It does not count as
-// a failure of the other node, but a check that ends with it counts as unanswered in the fraction of
-// the nodes that this one reaches.
+// ErrNotReady is the error of a permit request that this node could not send. It does not count as a
+// failure of the other node to answer. But a check that ends with ErrNotReady counts as unanswered in
+// the fraction of the nodes that this node reaches.
 var ErrNotReady = errors.New("sharedrate: other nodes cannot be asked yet")
 
 // RecordAnswer records the outcome of a permit request to another node.
@@ -177,7 +177,8 @@
 	return s
 }
 
-// failed reports whether a node has not answered for failedAfter, so that others take its place.
+// failed reports whether the node's current consecutive failures to answer span failedAfter or more, so
+// that another node takes the failed node's place as granter.
 func (b *Broker) failed(name string) bool {
 	s := b.peers[name]
 	return s != nil && !s.failingSince.IsZero() && s.lastFailure.Sub(s.failingSince) >= failedAfter
--- a/internal/sharedrate/granter.go
+++ b/internal/sharedrate/granter.go
@@ -26,9 +26,9 @@
 
 // Grant is the response to a PermitRequest.
 type Grant struct {
-	// Permits is the number of granted permits. The first is for a slot that opens after FirstIn,
-	// each further one for a slot that opens Spacing after the previous one. FirstIn may be
-	// negative: a slot that has passed may be used at once.
+	// Permits is the number of granted permits. The first permit is for a slot that opens after
+	// FirstIn, each further permit for a slot that opens Spacing after the previous slot. FirstIn
+	// may be negative: the permit of a slot that has passed may be used at once.
 	Permits          int
 	FirstIn, Spacing time.Duration
 	// RetryAfter is how long the requesting node waits before its next permit request, if it was
@@ -49,9 +49,9 @@
 )
 
 const (
-	// permitTTL is how long after its slot opens a permit may be used; opening a connection takes
-	// part of it. Permits granted over BoundWindow plus permitTTL can be used within one
-	// BoundWindow.
+	// permitTTL is how long a permit may be used after its slot opens; opening a connection to the
+	// target takes part of this time. The permits of all slots of a period of BoundWindow plus
+	// permitTTL can be used within one BoundWindow.
 	permitTTL = 300 * time.Millisecond
 	// catchUpTime and minCatchUp bound how many slots that passed without being granted a granter
 	// of a whole rate still gives out: the slots of the last catchUpTime, plus minCatchUp. This is
@@ -69,8 +69,8 @@
 	// which these requests are counted.
 	maxRequestsPerSlot = 6
 	requestWindow      = time.Second
-	// maxRetrySpread bounds the random delay that is added to the time until the next slot when a
-	// node is told when to ask again.
+	// maxRetrySpread bounds the random delay that RetryAfter contains in addition to the time until
+	// the next slot, so that no more than about maxRequestsPerSlot permit requests arrive per slot.
 	maxRetrySpread = 15 * time.Second
 	// idleTTL is how long the state of a rate or a node that is not used is kept.
 	idleTTL = time.Minute
@@ -153,8 +153,8 @@
 	return shares[place]
 }
 
-// observe applies the limit that the requesting node observed, if it is newer, and reports whether
-// the limit has ended for that node.
+// observe applies the limit that the requesting node observed, if the observation is newer than the
+// last one applied, and reports whether the requesting node must take the limit as ended.
 func (r *rateState) observe(a PermitRequest, now time.Time) (ended bool) {
 	confirmedAt := now.Add(-a.Heard)
 	if a.Ended {
--- a/internal/stagebatch/burst_test.go
+++ b/internal/stagebatch/burst_test.go
@@ -53,9 +53,9 @@
 func (k *orderKind) share() float64 { return float64(k.inTime) / float64(k.asked) }
 
 // playBurst simulates 12 of the 15 targets of the middle pool of a chain (one data centre is
-// drained) with 50 pieces a call, 200 ms a call and 3.4 ms a piece. One kind of order bursts to
-// 2.6 times its rate for 5.4 s. An order has six pieces and is due within 2.4 s. The pool
-// produces 1,620 pieces a second, and 2,480 are ordered.
+// drained) with 50 pieces a call, 200 ms a call and 3.4 ms a piece. The orders of the urgent kind
+// arrive at 2.6 times their usual rate for 5.4 s. An order has six pieces and is due within 2.4 s. The
+// pool produces 1,620 pieces a second, and 2,480 pieces a second are ordered.
 func playBurst(t testing.TB, off mechanism.Set) (urgent, other *orderKind) {
 	spec := &routes.Batch{Slots: 1, Queue: 2, Items: 50, CallTime: 200 * time.Millisecond, ItemTime: 3400 * time.Microsecond, ResultSpace: 1 << 30, Keep: 4 * time.Second}
 	list := targets.New("dc")
--- a/internal/stagebatch/estimate.go
+++ b/internal/stagebatch/estimate.go
@@ -11,8 +11,8 @@
 
 // Waits are the estimated times that a new piece waits until its call starts.
 type Waits struct {
-	// OnTime has the waits of pieces that can meet their objective, by rank from 0. Higher ranks
-	// use the last entry. If it is empty, there is no wait.
+	// OnTime has the waits of pieces that can meet their objective, by priority rank from 0. For
+	// ranks beyond the last entry the last entry holds. If OnTime is empty, there is no wait.
 	OnTime []time.Duration
 	// LateBegun and LateNew are the waits of late pieces: LateBegun if their request has results
 	// of earlier stages, LateNew otherwise. The estimate assumes that late pieces without
@@ -112,9 +112,10 @@
 }
 
 // rate returns the pool's rate in pieces per second. If pieces have waited at the end of each
-// call for all of rateWindow, it is the recent rate, at least a quarter and at most all of what
-// the good targets can produce; otherwise it is all of that. Lack of space for results keeps
-// some pools far below what their targets can produce.
+// call for all of rateWindow, it is the rate of the pieces produced within rateWindow, but at least a
+// quarter and at most all of what the good targets can produce; otherwise it is all that the good
+// targets can produce. Lack of space for results at the targets keeps the recent rate of some pools
+// far below what their targets can produce.
 func (t *traffic) rate(spec *routes.Batch, good float64, now time.Time) float64 {
 	reachable := good * float64(max(spec.Items, 1)) / expected(spec, spec.Items).Seconds()
 	if now.Sub(t.busySince) < rateWindow {
@@ -153,7 +154,7 @@
 	rate := p.rate(spec, good, now)
 	var residual time.Duration
 	if idle == 0 {
-		// The first busy target becomes free after part of its call.
+		// With all targets busy, a piece also waits for the first target to end its current call.
 		residual = times(expected(spec, spec.Items/2), 1/(good+1))
 	}
 	residual = max(residual, p.restLeft(now))
--- a/internal/stagebatch/former.go
+++ b/internal/stagebatch/former.go
@@ -34,7 +34,8 @@
 	pools map[string]*pool
 	// orders counts the orders that this former accepted; an order's number (seq) is taken from it.
 	orders uint64
-	// releasing holds the handles of results to be released, by the address of their target.
+	// releasing holds the handles of stage results that are to be released, by the address of the
+	// target that holds them.
 	releasing map[string][]string
 }
 
@@ -44,8 +45,8 @@
 	states map[string]*targetState
 	wakeAt time.Time
 	traffic
-	// sharedUntil is until when other nodes are assumed to form batches of this pool too. Calls
-	// may then have to wait at their targets.
+	// sharedUntil is the time until which other nodes are assumed to form batches of this pool too,
+	// so that calls of this former may have to wait at the targets.
 	sharedUntil  time.Time
 	working      working
 	versionSplit versionSplit
@@ -207,7 +208,8 @@
 		seen[t.ID] = true
 		m := p.states[t.ID]
 		if m == nil || m.Born != t.Born {
-			// A restarted process holds no results, and its speed is unknown.
+			// The target is new or its process restarted: it holds no results, and its speed is
+			// unknown.
 			m = &targetState{results: make(map[string]storedResult)}
 			p.states[t.ID] = m
 		}
--- a/internal/stagebatch/means.go
+++ b/internal/stagebatch/means.go
@@ -20,7 +20,8 @@
 const (
 	// orderBytes is the size on the former's network link of an order with six pieces: 500 bytes
 	// between the nodes (BenchmarkOrderOnTheLink of package peer), 300 bytes a piece in the calls
-	// to the targets, of which 255 name its inputs, and about a third more for packet headers.
+	// to the targets, of which 255 name the piece's inputs, and about a third more for packet
+	// headers.
 	orderBytes = 3000
 	// orderSeconds is the processor time of such an order with 670 targets
 	// (BenchmarkStagePools of package experiment).
@@ -28,13 +29,14 @@
 	// classRatio is the factor by which a node may have less capacity than the strongest node
 	// and still belong to the strong capacity class; all other nodes form the weak class. Hashing
 	// distributes the services over the nodes of a class. A node of the weak class forms no
-	// batches while a node of the strong class is available:
-	// a node with a 10 Mbit/s link that formed the batches of two pools at 730 orders a second
-	// delayed all of them by over 250 ms, while nodes with 200 Mbit/s were available.
+	// batches while a node of the strong class is available: a node with a 10 Mbit/s link that
+	// formed the batches of two pools at 730 orders a second delayed all of these orders by over
+	// 250 ms, while nodes with 200 Mbit/s were available.
 	classRatio = 4
 )
 
-// ordersPerSecond returns the rate of orders that the node can handle; 0 for unknown.
+// ordersPerSecond returns how many orders of six pieces a node of this capacity can handle per second;
+// 0 for unknown.
 func (m Capacity) ordersPerSecond() float64 {
 	link, processors := m.LinkBytes/orderBytes, m.Processors/orderSeconds
 	if link == 0 || processors == 0 {
--- a/internal/stagebatch/permits.go
+++ b/internal/stagebatch/permits.go
@@ -25,15 +25,15 @@
 // permitted reports whether the target's rate limit allows a call.
 func (p *permits) permitted(now time.Time) bool { return !p.bounded || p.permit.Valid(now) }
 
-// takePermit returns the permit for the next call and clears it.
+// takePermit returns the permit for the next call, and removes it from p so that it is used once.
 func (p *permits) takePermit() sharedrate.Permit {
 	permit := p.permit
 	p.permit = sharedrate.Permit{}
 	return permit
 }
 
-// activeShare returns the fraction of time for which the target's rate limit lets it work, given
-// calls of full size.
+// activeShare returns the fraction of time for which the target can work under its rate limit if each
+// call has the full number of pieces.
 func (m *targetState) activeShare(spec *routes.Batch) float64 {
 	if !m.bounded {
 		return 1
--- a/internal/watch/copy.go
+++ b/internal/watch/copy.go
@@ -157,7 +157,8 @@
 }
 
 // ResetVersion is the version that a follower sends for a table to have its copy replaced by the current
-// whole table, after it found a copy that differs at the same version from that of the node it follows.
+// whole table, after one of its copies proved to differ from the copy of the node that it follows
+// (ErrCopiesDiffer).
 var ResetVersion = store.Version{Number: -2}
 
 // wholeMaxAge is for how long CachedSince reuses an update with the whole table. While all nodes and targets
