--- a/internal/stagebatch/means.go
+++ b/internal/stagebatch/means.go
@@ -20,20 +20,23 @@
 const (
 	// orderBytes is the size on the former's network link of an order with six pieces: 500 bytes
 	// between the nodes (BenchmarkOrderOnTheLink of package peer), 300 bytes a piece in the calls
-	// to the targets, of which 255 name its inputs, and about a third more for packet headers.
+	// to the targets, of which 255 name the piece's inputs, and about a third more for packet
+	// headers.
 	orderBytes = 3000
 	// orderSeconds is the processor time of such an order with 670 targets
 	// (BenchmarkStagePools of package experiment).
 	orderSeconds = 0.0003
 	// classRatio is the factor by which a node may have less capacity than the strongest node
-	// and still belong to its class. Hashing distributes the services over the nodes of a class.
-	// A node of the weaker class forms no batches while one of the strongest class is available:
-	// a node with a 10 Mbit/s link that formed the batches of two pools at 730 orders a second
-	// delayed all of them by over 250 ms, while nodes with 200 Mbit/s were available.
+	// and still belong to the strong capacity class; all other nodes form the weak class. Hashing
+	// distributes the services over the nodes of a class. A node of the weak class forms no
+	// batches while a node of the strong class is available: a node with a 10 Mbit/s link that
+	// formed the batches of two pools at 730 orders a second delayed all of these orders by over
+	// 250 ms, while nodes with 200 Mbit/s were available.
 	classRatio = 4
 )
 
-// ordersPerSecond returns the rate of orders that the node can handle; 0 for unknown.
+// ordersPerSecond returns how many orders of six pieces a node of this capacity can handle per second;
+// 0 for unknown.
 func (m Capacity) ordersPerSecond() float64 {
 	link, processors := m.LinkBytes/orderBytes, m.Processors/orderSeconds
 	if link == 0 || processors == 0 {
@@ -42,9 +45,10 @@
 	return min(link, processors)
 }
 
-// rankNodes sorts nodes into the order in which they form the batches of a service: the
-// strongest class first, and within each class by rendezvous hashing. All nodes that have the
-// same node list get the same order.
+// rankNodes sorts nodes by their precedence for forming the batches of a service: first the nodes of
+// the strong capacity class (see classRatio), then those of the weak class, and within each class by
+// rendezvous hashing of the service and the node name. All nodes that have the same node list get the
+// same result.
 func rankNodes(service string, nodes []Node) {
 	best := 0.0
 	for _, n := range nodes {
