--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -73,7 +73,8 @@
 	}
 }
 
-// PollNow makes the follower read the head now.
+// PollNow makes the follower read the configuration's current revision from the store now, without
+// waiting for the next poll.
 func (f *Follower) PollNow() {
 	select {
 	case f.wake <- struct{}{}:
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -9,7 +9,9 @@
 	"topazmoor/internal/watch"
 )
 
-// applyOperatorTable applies the rows in force that the operator wrote.
+// applyOperatorTable applies the rows of the table that the operator writes: the drains of data
+// centres, the roll-out orders and the configuration. The view holds the rows in force, as
+// restore.Table determines them after the store lost rows or was restored from a backup.
 func (n *Node) applyOperatorTable(v watch.View, _ restore.Result) {
 	n.versionTracker.observe(v.Rows)
 	n.applyDrains(v)
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -125,7 +125,8 @@
 	slices.SortStableFunc(steps, func(a, b Step) int { return a.At.Compare(b.At) })
 }
 
-// Write prints steps, one per line, with the time in seconds since the first.
+// Write writes the steps of a request's history to w, one per line, each with its time of day and the
+// seconds since the first step.
 func Write(w io.Writer, steps []Step) error {
 	for _, s := range steps {
 		var fields []string
--- a/internal/fleet/decide.go
+++ b/internal/fleet/decide.go
@@ -119,8 +119,9 @@
 	return out
 }
 
-// capacity counts slots and copies by model. An engine whose last order no longer
-// lists a model does not count for it, even if the engine still holds it.
+// capacity counts, by model, the engines that hold it (its copies) and the model's share of
+// their call slots. An engine whose last order no longer lists a model does not count for
+// it, even if the engine still holds it.
 func capacity(engines []Engine, orders map[string]Order) (slots map[ModelKey]float64, copies map[ModelKey]int) {
 	slots, copies = make(map[ModelKey]float64), make(map[ModelKey]int)
 	for _, e := range engines {
--- a/internal/flow/repeats_test.go
+++ b/internal/flow/repeats_test.go
@@ -12,9 +12,10 @@
 )
 
 // TestRepeatsOfAllNodesStayInBounds has nodes, some of which restart, send as many
-// repeats as their budgets allow. No window has more repeats than the fixed number
-// plus ratio times the requests of that window or of the one before it, whichever
-// has more. The nodes' count of nodes may be wrong by a quarter.
+// repeats of requests as their budgets allow. All nodes together may send, in each
+// window, at most the fixed number of repeats plus ratio times the requests of that
+// window or of the one before it, whichever has more. The number of nodes that the
+// nodes assume may be wrong by a quarter.
 //
 // It was seen to fail with burstShare at 1.5.
 func TestRepeatsOfAllNodesStayInBounds(t *testing.T) {
--- a/internal/frontdoor/frontdoor.go
+++ b/internal/frontdoor/frontdoor.go
@@ -164,7 +164,7 @@
 	Node   string `json:"node"`
 }
 
-// KeyStatus is the response body of a lookup.
+// KeyStatus is the response body of a lookup of a request key: what is known of the request with it.
 type KeyStatus struct {
 	Key string `json:"key"`
 	// State is unknown, in_progress, finished or lost. A key is lost if the claim
--- a/internal/ledger/commit.go
+++ b/internal/ledger/commit.go
@@ -55,7 +55,8 @@
 	return nil
 }
 
-// commitQueue commits groups until the queue is empty.
+// commitQueue commits the queued operations, which claim keys or finish claims, one group of them per
+// transaction, until the queue is empty.
 func (b *TableRegistry) commitQueue() {
 	for {
 		b.waitInterval()
--- a/internal/ledger/router.go
+++ b/internal/ledger/router.go
@@ -8,7 +8,8 @@
 	"topazmoor/internal/verdict"
 )
 
-// Remote gives access to the claim registries of other nodes.
+// Remote gives access to the registries of other nodes, which record the claims of idempotency keys
+// by attempts to run a request.
 type Remote interface {
 	// Registry returns the registry of a node, or nil if the node is not known.
 	Registry(node string) Registry
--- a/internal/ledger/ticket.go
+++ b/internal/ledger/ticket.go
@@ -22,8 +22,9 @@
 // Ticket is a decoded request ticket: an idempotency key that only the process
 // that issued it can grant.
 type Ticket struct {
-	// Node and Incarnation identify the process that issued the ticket; Addr is
-	// its peer address, so that it is reachable without a membership lookup.
+	// Node and Incarnation identify the process that issued the ticket; Addr is the
+	// address at which other nodes reach that process, so that no membership lookup is
+	// needed.
 	Node, Incarnation, Addr string
 	Nonce                   string
 	Expires                 time.Time
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -82,7 +82,8 @@
 	// retransmitFactor scales how often an update is sent:
 	// retransmitFactor * (floor(log2(nodes)) + 1) times.
 	retransmitFactor = 1
-	// syncEvery is the number of intervals between two anti-entropy exchanges.
+	// syncEvery is the number of ping intervals between two anti-entropy exchanges, in which nodes
+	// compare their views of the members.
 	syncEvery = 15
 	// announceFanout is the number of nodes to which a new revision is announced.
 	announceFanout = 5
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -263,7 +263,8 @@
 	return c.nodes[i]
 }
 
-// all returns the current processes, killed ones included.
+// all returns the current process of each node of the cluster. If a node was killed and not
+// started again, that is the killed process.
 func (c *cluster) all() []*testNode {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -78,7 +78,8 @@
 	return err
 }
 
-// close cancels all requests and closes the listener and all connections at once.
+// close stops the server without waiting for requests: it cancels them, and closes the listener and
+// all connections.
 func (s *server) close() {
 	s.cancel(nil)
 	s.http.Close()
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -297,7 +297,8 @@
 func (g *Guard) Ended(r Run) <-chan bool {
 	known := make(chan bool, 1)
 	if r.Digest == (Digest{}) {
-		// The node that sent the request gave no digest.
+		// The node that sent the request gave no digest of it, so an end of the target could not
+		// be recorded for the request. Report at once that no end is known.
 		known <- false
 		return known
 	}
--- a/internal/poison/guard_test.go
+++ b/internal/poison/guard_test.go
@@ -299,8 +299,9 @@
 	})
 }
 
-// A client account that sends ever new requests under which targets end takes a bounded amount of
-// memory, and requests of other accounts are not refused.
+// Guards against unbounded memory if a client account sends ever new requests under which processes
+// of targets end, while the store is unreachable: the local records and the queue of writes are
+// bounded, and requests of other accounts are not refused.
 func TestEndsUnderManyRequestsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/internal/poison/record.go
+++ b/internal/poison/record.go
@@ -83,7 +83,9 @@
 	return r
 }
 
-// merged returns the record with the ends and probes of another record of the same request added.
+// merged returns the record with the information of another record of the same request: the target
+// processes that ended under the request are added, and the probes are those of the record that
+// counts more probes.
 func (r Record) merged(o Record) Record {
 	for _, process := range o.Ended {
 		r = r.withEnd(process, "")
--- a/internal/readiness/parse.go
+++ b/internal/readiness/parse.go
@@ -30,7 +30,8 @@
 	if err != nil {
 		return 0
 	}
-	// Compare with the sender's clock, which may differ from this node's.
+	// The rest lasts until the Retry-After date by the target's clock, which may differ from this
+	// node's: measure it from the Date of the same answer, if that is valid.
 	if sent, err := http.ParseTime(date); err == nil {
 		now = sent
 	}
--- a/internal/readiness/state.go
+++ b/internal/readiness/state.go
@@ -9,14 +9,15 @@
 const (
 	// Open: the target has reported nothing that prevents calls.
 	Open Status = iota
-	// OnTrial: its rest, or the time in which it was avoided, is over; the next call is the
+	// OnTrial: the target's rest, or the time in which it was avoided, is over; the next call is the
 	// trial call. Until that is accepted or lost, the target is Resting or Avoided again, so
 	// that it gets no second trial call.
 	OnTrial
-	// Avoided: it rejected a call without asking for rest, or the trial call after that is in
+	// Avoided: the target rejected a call without asking for rest, or the trial call after that is in
 	// progress; it is called only if there is no other target.
 	Avoided
-	// Resting: it asked for rest, or the trial call after its rest is in progress.
+	// Resting: the target asked to get no calls for a time, its rest, which is not over; or it is
+	// over and the trial call after it is in progress.
 	Resting
 	// Leaving: it takes no new work any more.
 	Leaving
--- a/internal/readiness/state_test.go
+++ b/internal/readiness/state_test.go
@@ -110,9 +110,10 @@
 }
 
 // TestOracleRests drives a State with calls that wait before they are sent, and are rejected,
-// accepted or lost, in any order. In any order, at most two calls are sent in a rest after its first
-// half second, none is sent after the target reported that it leaves, and a target that asks for no
-// further rest is called again.
+// accepted or lost, in any order. At most two calls may be sent during a rest, the time for which the
+// target asked to get no calls; those of its first half second are not counted, as in the tests of the
+// platform (restAfter), where calls on their way when the target asks still arrive. No call may be sent
+// after the target reported that it leaves, and a target that asks for no further rest is called again.
 func TestOracleRests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s State
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -13,8 +13,9 @@
 	// minRate is the lowest rate of bad answers that is assumed of the old version, so that a
 	// single bad answer of the new version is not enough to judge the new version bad.
 	minRate = 0.02
-	// routeExcess is the excess of bad answers on one route that the test detects, overallExcess
-	// that on all routes together; both are shares of the answers.
+	// routeExcess and overallExcess are the increases that Judge's sequential test is designed to
+	// detect: of the new version's share of bad answers over the old version's, on one route and on
+	// all routes together.
 	routeExcess   = 0.15
 	overallExcess = 0.07
 	// slowTail is the largest part of the old version's calls that may be longer than the duration
--- a/internal/rollout/owner.go
+++ b/internal/rollout/owner.go
@@ -280,7 +280,8 @@
 	Nodes         int
 }
 
-// Orders returns the orders that this node decides on.
+// Orders returns the status of the roll-out orders whose progress this owner decides, from the reports
+// of the nodes that chose it.
 func (w *Owner) Orders() []Status {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -96,7 +96,7 @@
 	Addr string `json:"addr" need:"true"`
 	// Timeout bounds each call to the platform. Default 2s.
 	Timeout Duration `json:"timeout"`
-	// ConfigPoll is the interval between reads of the configuration head.
+	// ConfigPoll is the average interval between reads of the configuration's current revision.
 	// Default 3s.
 	ConfigPoll Duration `json:"config_poll"`
 }
--- a/internal/sharedrate/broker.go
+++ b/internal/sharedrate/broker.go
@@ -241,7 +241,7 @@
 	return share
 }
 
-// Forget drops this node's permits and usage of the rate.
+// Forget drops the permits that this node holds for a rate, and its record of how it uses them.
 func (b *Broker) Forget(key string) { delete(b.caches, key) }
 
 // Counts returns the totals so far.
--- a/internal/sharedrate/granter.go
+++ b/internal/sharedrate/granter.go
@@ -53,9 +53,10 @@
 	// target takes part of this time. The permits of all slots of a period of BoundWindow plus
 	// permitTTL can be used within one BoundWindow.
 	permitTTL = 300 * time.Millisecond
-	// catchUpTime and minCatchUp bound how many slots that passed without being granted a granter
-	// of a whole rate still gives out: the slots of the last catchUpTime, plus minCatchUp. This is
-	// needed because nodes ask for a slot some time after it opens.
+	// A slot is a time at which a rate allows one more request; each permit is for one slot.
+	// catchUpTime and minCatchUp bound how many past slots a granter of a whole rate still grants if
+	// no node was granted them: the slots of the last catchUpTime, plus minCatchUp. This is needed
+	// because nodes ask for a slot some time after it opens.
 	catchUpTime = 100 * time.Millisecond
 	minCatchUp  = 1
 	// horizon is how long before it opens a slot may be granted.
--- a/internal/stagebatch/pool.go
+++ b/internal/stagebatch/pool.go
@@ -374,9 +374,9 @@
 	return o.DataCentre == pl.dataCentre || !pl.working[o.DataCentre]
 }
 
-// inTime reports whether the target may take an order with regard to its speed. It may if it is
-// not slow, if the order meets Due here, or if the order would miss Due even at a healthy target
-// but meets Deadline here. takes is the duration at a healthy target.
+// inTime reports whether the target is fast enough for an order. It is if it is not slow compared
+// with the fastest target of the pool, if it would complete the order by Due, or if even a healthy
+// target would miss Due but this one would meet Deadline. takes is the duration at a healthy target.
 func (pl placement) inTime(o *order, takes time.Duration, now time.Time) bool {
 	if pl.slower < healthyRatio {
 		return true
--- a/internal/stagebatch/router.go
+++ b/internal/stagebatch/router.go
@@ -161,7 +161,8 @@
 // timeout.
 var ErrNoMessage = errors.New("stagebatch: no message from the node within the timeout")
 
-// produceAt runs an order at another node and cancels it if the node sends no message in time.
+// produceAt has another node produce the results of an order, and cancels the call with ErrNoMessage
+// if the node sends no message in time.
 func (r *Router) produceAt(ctx context.Context, n Node, o Order) (Result, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/internal/stagebatch/versions.go
+++ b/internal/stagebatch/versions.go
@@ -24,7 +24,8 @@
 	v.trial = t
 }
 
-// mayCall reports whether a target of the version may receive a call now.
+// mayCall reports whether targets of the version may receive a call now: the version is not barred,
+// and during a roll-out its share of the calls allows it.
 func (v *versionSplit) mayCall(version string) bool {
 	switch {
 	case slices.Contains(v.trial.Barred, version):
--- a/internal/stagebatch/working.go
+++ b/internal/stagebatch/working.go
@@ -52,8 +52,8 @@
 	return n
 }
 
-// stale reports whether the set must be chosen again. Without unused targets it always is, as
-// choosing is cheap then.
+// stale reports whether the working set must be chosen again: the target list has changed, the set
+// is older than workingSetTTL, or it contains all targets of the pool, so that choosing is cheap.
 func (w *working) stale(generation uint64, now time.Time) bool {
 	return w.generation != generation || len(w.unused) == 0 || now.Sub(w.chosenAt) >= workingSetTTL
 }
--- a/internal/targets/engine.go
+++ b/internal/targets/engine.go
@@ -102,8 +102,9 @@
 	return addr
 }
 
-// copySource returns the address of the engine from which s should copy the beginning of a
-// prompt: an engine that read it for this node, else one that presumably has it; "" for none.
+// copySource returns the address of the engine from whose prompt cache s should copy the beginning
+// of a prompt: an engine that read it for this node, else one that presumably has it, as all nodes
+// prefer the same engine for a prefix; "" if there is none, or s has all that requests share.
 func copySource(s *state, q *EngineQuery, holders []promptHolder, cands []*state) string {
 	if addr := copyFrom(s, holders); addr != "" || s.cachedTokens(holders) >= q.Shared {
 		return addr
--- a/internal/targets/limit.go
+++ b/internal/targets/limit.go
@@ -168,9 +168,9 @@
 	return p, err
 }
 
-// conflictBackoff is how long a target gets no calls that need a permit while nodes disagree on its
-// limit: another node has reported that the limit ended, but not clearly after this node's last
-// report of the limit.
+// conflictBackoff is how long a target gets no calls that need a permit of its rate limit if nodes
+// disagree on whether it still has that limit: another node has reported that the limit ended, but
+// not clearly after this node's last report of the limit.
 const conflictBackoff = 100 * time.Millisecond
 
 // denied records that a call got no permit: it ends the limit if another node observed its end
--- a/internal/targets/rollout.go
+++ b/internal/targets/rollout.go
@@ -39,7 +39,9 @@
 	})
 }
 
-// admits returns a function that reports whether a target takes calls of a target group.
+// admits returns a function that reports whether a target may get calls that a roll-out directs to
+// the target group lane: the group must include the target's version and, if only a fraction of the
+// group takes its calls, the target must be in that fraction (see maxHashInPart).
 func (t *Table) admits(service string, lane rollout.TargetGroup, now time.Time) func(*state) bool {
 	if lane.Fraction <= 0 || lane.Fraction >= 1 {
 		return func(s *state) bool { return lane.Admits(s.Version) }
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -164,7 +164,8 @@
 	Removed []string
 }
 
-// Replace replaces the whole list; see Table.Change.
+// Replace replaces the whole list of targets: those that are not in the new list count as removed.
+// See Table.Change for regained and the results.
 func (t *Table) Replace(list []Target, regained time.Time) (changes []Change, gone []string) {
 	listed := make(map[string]bool, len(list))
 	for _, target := range list {
--- a/internal/watch/copy.go
+++ b/internal/watch/copy.go
@@ -18,7 +18,8 @@
 
 // News is an update that brings a copy of a table from one version to another.
 type News struct {
-	// Since and Version bound the changes: they apply to any copy at or after Since.
+	// The update contains the changes after version Since, up to Version. It applies to any copy
+	// whose version is at or after Since.
 	Since, Version store.Version
 	// Whole is set if Rows are the whole table, which replaces any copy.
 	Whole bool
